--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -26,27 +26,27 @@
 
 var partition = keyedlog.Partition{Topic: keyedlog.TopicDuties}
 
-// call is one that the party has received.
+// call is a call that the external service received.
 type call struct {
 	at      time.Time
 	machine string
 	token   int64
 }
 
-// party takes calls and checks nothing.
-type party struct {
+// callee is an external service that accepts all calls without checks.
+type callee struct {
 	mutex sync.Mutex
 	calls []call
 }
 
-func (p *party) take(machine string, token int64) {
+func (p *callee) receive(machine string, token int64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.calls = append(p.calls, call{time.Now(), machine, token})
 }
 
-// violation says what is wrong with a sequence of calls, empty for nothing: a lower token after a higher one, a token of two machines, or
-// machines in the order A, B, A within a lease.
+// violation describes what is wrong with a sequence of calls, empty for nothing: a lower token after a higher one, a
+// token used by two machines, or calls of machines in the order A, B, A within a lease.
 func violation(calls []call) string {
 	owners := make(map[int64]string)
 	highest := int64(0)
@@ -71,8 +71,8 @@
 	return ""
 }
 
-// TestViolationsAreSeen breaks each rule on purpose.
-func TestViolationsAreSeen(t *testing.T) {
+// TestViolationsAreDetected checks violation with sequences that break each rule.
+func TestViolationsAreDetected(t *testing.T) {
 	start := time.Unix(0, 0)
 	at := func(seconds float64, machine string, token int64) call {
 		return call{start.Add(time.Duration(seconds * float64(time.Second))), machine, token}
@@ -99,13 +99,14 @@
 	}
 }
 
-// caller is a duty that announces and calls again and again, the calls spread over the window that the announcement gives it.
+// caller is a duty that repeatedly announces and then calls, with the calls spread over the window that the
+// announcement returned.
 type caller struct {
 	machine string
-	party   *party
+	callee  *callee
 	random  *rand.Rand
-	// sendsLate leaves the window out of account, as a fault that the checks must see.
-	sendsLate bool
+	// ignoresWindow makes calls outside the window, as a fault that the checks must detect.
+	ignoresWindow bool
 }
 
 func (c *caller) Name() string { return "test" }
@@ -116,55 +117,55 @@
 		if err != nil {
 			return
 		}
-		longest := 700 * time.Millisecond
-		if c.sendsLate {
+		maxPause := 700 * time.Millisecond
+		if c.ignoresWindow {
 			window = window.From(time.Now().Add(time.Minute))
-			longest = 2 * lease
+			maxPause = 2 * lease
 		}
 		for range 3 {
-			if !pause.For(ctx, time.Duration(c.random.Int63n(int64(longest)))) {
+			if !pause.For(ctx, time.Duration(c.random.Int63n(int64(maxPause)))) {
 				return
 			}
 			if !window.Over() {
-				c.party.take(c.machine, tenure.Token())
+				c.callee.receive(c.machine, tenure.Token())
 			}
 		}
 	}
 }
 
-// life is a process on a machine that believes to hold the duty.
-type life struct {
+// process is a process on a machine that considers itself the holder of the duty.
+type process struct {
 	machine    string
 	generation int64
 	work       ownership.Work
 	cancel     context.CancelFunc
 }
 
-// play lets three machines gain the duty by turns while their predecessors go on, die, are released or start again, and the store fails
-// some of them.
-func play(t *testing.T, seed int64, sendsLate bool) *party {
+// simulate lets three machines gain the duty in random order while their predecessors continue, crash, are released or
+// restart, and the store fails calls of some of them.
+func simulate(t *testing.T, seed int64, ignoresWindow bool) *callee {
 	random := rand.New(rand.NewSource(seed))
 	store := memorylog.New(memorylog.Config{Partitions: 1, Delay: 5 * time.Millisecond, Late: 2 * time.Second})
-	p := &party{}
-	var lives []*life
+	p := &callee{}
+	var processes []*process
 	end := func(i int) {
-		lives[i].cancel()
-		lives[i].work.Release(t.Context())
-		lives = append(lives[:i], lives[i+1:]...)
+		processes[i].cancel()
+		processes[i].work.Release(t.Context())
+		processes = append(processes[:i], processes[i+1:]...)
 	}
 	gain := func(machine string, generation int64) {
 		// A machine runs one process at a time, and a process releases a partition before it gains it again.
-		for i := len(lives) - 1; i >= 0; i-- {
-			if lives[i].machine == machine {
+		for i := len(processes) - 1; i >= 0; i-- {
+			if processes[i].machine == machine {
 				end(i)
 			}
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		holder := duty.NewHolder(duty.Config{
 			Log: storetimeout.New(store.For(machine)), Machine: machine, Lease: lease, Logger: log.New(io.Discard),
-			Duties: []duty.Duty{&caller{machine, p, rand.New(rand.NewSource(random.Int63())), sendsLate}},
+			Duties: []duty.Duty{&caller{machine, p, rand.New(rand.NewSource(random.Int63())), ignoresWindow}},
 		})
-		lives = append(lives, &life{machine, generation, holder.Gained(ctx, partition, generation), cancel})
+		processes = append(processes, &process{machine, generation, holder.Gained(ctx, partition, generation), cancel})
 	}
 	generation := int64(1)
 	gain("a", generation)
@@ -176,13 +177,13 @@
 			generation++
 			gain(machine, generation)
 		case 3:
-			if len(lives) > 0 {
-				end(random.Intn(len(lives)))
+			if len(processes) > 0 {
+				end(random.Intn(len(processes)))
 			}
 		case 4:
-			// The newest holder's process starts again where it was.
-			if last := len(lives) - 1; last >= 0 && lives[last].generation == generation {
-				gain(lives[last].machine, generation)
+			// The process of the newest holder restarts on the same machine.
+			if last := len(processes) - 1; last >= 0 && processes[last].generation == generation {
+				gain(processes[last].machine, generation)
 			}
 		case 5:
 			fault := []memorylog.Fault{memorylog.LostAfter, memorylog.LostLate, memorylog.Silent, memorylog.Down}[random.Intn(4)]
@@ -195,18 +196,19 @@
 		}
 	}
 	store.Heal()
-	for len(lives) > 0 {
+	for len(processes) > 0 {
 		end(0)
 	}
 	return p
 }
 
-// TestNoTwoHoldersAct plays many interleavings of holders and checks what the party hears.
-func TestNoTwoHoldersAct(t *testing.T) {
+// TestCallsOfHoldersNeverOverlap simulates many interleavings of holders and checks the calls that the service
+// receives.
+func TestCallsOfHoldersNeverOverlap(t *testing.T) {
 	calls := 0
 	for seed := range int64(150) {
 		synctest.Test(t, func(t *testing.T) {
-			p := play(t, seed, false)
+			p := simulate(t, seed, false)
 			if wrong := violation(p.calls); wrong != "" {
 				t.Errorf("seed %d: %s", seed, wrong)
 			}
@@ -218,12 +220,12 @@
 	}
 }
 
-// TestCallsOutsideTheirWindowAreSeen checks that the plays find a holder that does not keep to the window.
-func TestCallsOutsideTheirWindowAreSeen(t *testing.T) {
+// TestCallsOutsideTheirWindowAreDetected checks that the simulations detect a holder that ignores the window.
+func TestCallsOutsideTheirWindowAreDetected(t *testing.T) {
 	wrong := 0
 	for seed := range int64(50) {
 		synctest.Test(t, func(t *testing.T) {
-			if violation(play(t, seed, true).calls) != "" {
+			if violation(simulate(t, seed, true).calls) != "" {
 				wrong++
 			}
 		})
@@ -231,11 +233,12 @@
 	is.New(t).True(wrong > 0)
 }
 
-// keeper is a duty that keeps one record and remembers what it found.
+// keeper is a duty that announces one record, and keeps the record that it found before and how long the announcement
+// took.
 type keeper struct {
-	found []byte
-	value string
-	took  chan time.Duration
+	found   []byte
+	value   string
+	elapsed chan time.Duration
 }
 
 func (k *keeper) Name() string { return "keeper" }
@@ -244,19 +247,19 @@
 	k.found = tenure.Record("key")
 	began := time.Now()
 	if _, err := tenure.Announce(ctx, "key", []byte(k.value)); err == nil {
-		k.took <- time.Since(began)
+		k.elapsed <- time.Since(began)
 	}
 	<-ctx.Done()
 }
 
-// TestASuccessorFindsWhatWasAnnounced checks that a holder on the same machine goes on at once with what its predecessor announced, and
-// one on another machine after the window and the lease.
-func TestASuccessorFindsWhatWasAnnounced(t *testing.T) {
+// TestSuccessorReadsAnnouncements checks that a successor reads the record that its predecessor announced, and that it
+// may act at once on the same machine, and on another one after the window and the lease.
+func TestSuccessorReadsAnnouncements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memorylog.New(memorylog.Config{Partitions: 1, Delay: time.Millisecond})
 		hold := func(machine, value string, generation int64) (*keeper, func()) {
-			k := &keeper{value: value, took: make(chan time.Duration, 1)}
+			k := &keeper{value: value, elapsed: make(chan time.Duration, 1)}
 			ctx, cancel := context.WithCancel(t.Context())
 			work := duty.NewHolder(duty.Config{
 				Log: store.For(machine), Machine: machine, Lease: lease, Duties: []duty.Duty{k}, Logger: log.New(io.Discard),
@@ -267,27 +270,27 @@
 			}
 		}
 		first, stop := hold("a", "1", 1)
-		is.True(<-first.took < time.Second)
+		is.True(<-first.elapsed < time.Second)
 		is.Equal(len(first.found), 0)
 		stop()
-		again, stop := hold("a", "2", 1)
-		is.True(<-again.took < time.Second)
-		is.Equal(string(again.found), "1")
+		restarted, stop := hold("a", "2", 1)
+		is.True(<-restarted.elapsed < time.Second)
+		is.Equal(string(restarted.found), "1")
 		stop()
 		other, stop := hold("b", "3", 2)
-		is.True(<-other.took >= lease)
+		is.True(<-other.elapsed >= lease)
 		is.Equal(string(other.found), "2")
 		stop()
-		// A partition without a duty is held and does nothing.
+		// A partition without a duty can be held, and nothing happens.
 		none := duty.NewHolder(duty.Config{Log: store.For("c"), Machine: "c", Lease: lease, Logger: log.New(io.Discard)})
 		none.Gained(t.Context(), keyedlog.Partition{Topic: keyedlog.TopicDuties}, 9).Release(t.Context())
 	})
 }
 
-// announcer is a duty that announces once and tells when that was and how long the announcement is good for.
+// announcer is a duty that announces once, and keeps when it began and when the window ends.
 type announcer struct {
-	began time.Time
-	until chan time.Time
+	began      time.Time
+	validUntil chan time.Time
 }
 
 func (a *announcer) Name() string { return "announcer" }
@@ -295,32 +298,32 @@
 func (a *announcer) Perform(ctx context.Context, tenure *duty.Tenure) {
 	a.began = time.Now()
 	if window, err := tenure.Announce(ctx, "key", nil); err == nil {
-		a.until <- window.Until()
+		a.validUntil <- window.Until()
 	}
 	<-ctx.Done()
 }
 
-// TestAnAnnouncementIsGoodForItsWindow checks that the window is counted from before the write, and that a write which takes half of the
-// window is made anew.
-func TestAnAnnouncementIsGoodForItsWindow(t *testing.T) {
+// TestAnnouncementIsValidForItsWindow checks that the window starts before the write, and that a write that takes half
+// of the window is repeated.
+func TestAnnouncementIsValidForItsWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memorylog.New(memorylog.Config{Partitions: 1, Delay: 300 * time.Millisecond})
-		a := &announcer{until: make(chan time.Time, 1)}
+		a := &announcer{validUntil: make(chan time.Time, 1)}
 		work := duty.NewHolder(duty.Config{
 			Log: store.For("a"), Machine: "a", Lease: lease, Duties: []duty.Duty{a}, Logger: log.New(io.Discard),
 		}).Gained(t.Context(), partition, 1)
-		until := <-a.until
+		until := <-a.validUntil
 		is.Equal(until.Sub(a.began), fencing.SendWindow)
 		work.Release(t.Context())
 
 		slow := memorylog.New(memorylog.Config{Partitions: 1, Delay: 600 * time.Millisecond})
-		late := &announcer{until: make(chan time.Time, 1)}
+		late := &announcer{validUntil: make(chan time.Time, 1)}
 		work = duty.NewHolder(duty.Config{
 			Log: slow.For("a"), Machine: "a", Lease: lease, Duties: []duty.Duty{late}, Logger: log.New(io.Discard),
 		}).Gained(t.Context(), partition, 1)
 		time.Sleep(10 * time.Second)
-		is.Equal(len(late.until), 0)
+		is.Equal(len(late.validUntil), 0)
 		work.Release(t.Context())
 	})
 }
--- a/internal/enginelist/differences.go
+++ b/internal/enginelist/differences.go
@@ -11,8 +11,8 @@
 
 const (
 	// backupDelay and backupJitter determine how long a process that is not the primary of a partition leaves a
-	// difference to others: a random time between backupDelay and their sum. A primary's append is read back within 0.1
-	// s, and engines that leave go on serving for seconds.
+	// difference to others: a random time between backupDelay and their sum. A primary's append is read back within
+	// 0.1 s, and engines that leave go on serving for seconds.
 	backupDelay  = 400 * time.Millisecond
 	backupJitter = 800 * time.Millisecond
 	// rewriteDelay is how long a completed append is given to be read back. A failed one is repeated after retryDelay
--- a/internal/engineview/engineview_test.go
+++ b/internal/engineview/engineview_test.go
@@ -19,7 +19,7 @@
 	"github.com/matryer/is"
 )
 
-// owner is a process that owns jobs, with what it holds.
+// owner is a process that owns jobs, whose held slots the test sets.
 type owner struct {
 	directory *fleet.Directory
 	publisher *Publisher
@@ -30,13 +30,13 @@
 	stop func()
 }
 
-// newOwner starts a process that knows one engine of four places.
+// newOwner starts a process that knows one engine with four slots.
 func newOwner(t *testing.T, store *memorylog.Store, name string, logs io.Writer) *owner {
 	o := &owner{directory: fleet.NewDirectory()}
 	o.owning.Store(true)
 	o.directory.Upsert(fleet.Engine{ID: "e", Pool: "p", Slots: 4})
 	o.publisher = NewPublisher(PublisherConfig{
-		Log: store.For(name), Machine: name, Source: o.directory, Held: o.places, Logger: log.New(logs),
+		Log: store.For(name), Machine: name, Source: o.directory, Held: o.heldSlots, Logger: log.New(logs),
 	})
 	o.reader = NewReader(ReaderConfig{
 		Log: store.For(name), Machine: name, Directory: o.directory, Busy: o.owning.Load, Logger: log.New(logs),
@@ -53,15 +53,15 @@
 	return o
 }
 
-func (o *owner) places() map[string]int {
+func (o *owner) heldSlots() map[string]int {
 	if o.held.Load() == 0 {
 		return nil
 	}
 	return map[string]int{"e": int(o.held.Load())}
 }
 
-// hasRoom tells whether an item that has just come would get a place.
-func (o *owner) hasRoom() bool {
+// hasFreeSlot reports whether an item that has just arrived would get a slot.
+func (o *owner) hasFreeSlot() bool {
 	engine, found := o.directory.Acquire(fleet.Want{Pool: "p", Share: 1, Since: time.Now()})
 	if found {
 		o.directory.Release(engine.ID)
@@ -69,8 +69,9 @@
 	return found
 }
 
-// viewDelay is how long a view takes to reach others at most: the publisher's time, the reader's and two ways through the store.
-const viewDelay = publishInterval + readSpacing + 2*storeDelay
+// maxViewDelay is the maximum time until a view reaches other processes: the intervals of the publisher and the reader
+// and two calls of the store.
+const maxViewDelay = publishInterval + readSpacing + 2*storeDelay
 
 const storeDelay = 10 * time.Millisecond
 
@@ -78,7 +79,7 @@
 	return memorylog.New(memorylog.Config{Partitions: 1, Delay: storeDelay})
 }
 
-func TestOwnersKnowWhatOthersHold(t *testing.T) {
+func TestOwnersSeeSlotsHeldByOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
@@ -86,52 +87,53 @@
 		time.Sleep(time.Second)
 		is.Equal(store.Appends(), 0) // there is nothing to publish
 		a.held.Store(4)
-		time.Sleep(viewDelay)
-		is.True(!b.hasRoom())
-		is.True(a.hasRoom()) // its own record is skipped
+		time.Sleep(maxViewDelay)
+		is.True(!b.hasFreeSlot())
+		is.True(a.hasFreeSlot()) // its own record is skipped
 		time.Sleep(10 * time.Second)
-		is.True(!b.hasRoom()) // the view is renewed
+		is.True(!b.hasFreeSlot()) // the view is renewed
 		is.True(store.Appends() <= 1+int(10*time.Second/renewInterval))
 		a.held.Store(0)
-		time.Sleep(viewDelay)
-		is.True(b.hasRoom())
+		time.Sleep(maxViewDelay)
+		is.True(b.hasFreeSlot())
 		written := store.Appends()
 		time.Sleep(10 * time.Second)
 		is.Equal(store.Appends(), written) // nothing more is published
 		is.Equal(a.publisher.Written(), int64(written))
 		a.held.Store(4)
-		time.Sleep(viewDelay)
-		is.True(!b.hasRoom())
+		time.Sleep(maxViewDelay)
+		is.True(!b.hasFreeSlot())
 		a.stop()
-		time.Sleep(viewDelay)
-		is.True(b.hasRoom()) // a process that ends says so
+		time.Sleep(maxViewDelay)
+		is.True(b.hasFreeSlot()) // a process that stops removes its view
 		b.stop()
 	})
 }
 
-// TestViewsAgeWhileTheStoreIsAway checks that owners that hear nothing decide as if they were alone, and hear again once the store is back.
-func TestViewsAgeWhileTheStoreIsAway(t *testing.T) {
+// TestViewsExpireDuringStoreOutage checks that owners whose reads fail ignore the views of others after a while, and
+// read them again once the store is back.
+func TestViewsExpireDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
 		a, b := newOwner(t, store, "a", io.Discard), newOwner(t, store, "b", io.Discard)
 		a.held.Store(4)
 		time.Sleep(time.Second)
-		is.True(!b.hasRoom())
+		is.True(!b.hasFreeSlot())
 		store.SetRule(func(memorylog.Call) memorylog.Fault { return memorylog.Down })
 		time.Sleep(2 * time.Second)
-		is.True(b.hasRoom())
+		is.True(b.hasFreeSlot())
 		store.Heal()
 		time.Sleep(time.Second)
-		is.True(!b.hasRoom())
+		is.True(!b.hasFreeSlot())
 		a.stop()
 		b.stop()
 	})
 }
 
-// TestANewOwnerKnowsPacesAtOnce checks that a process which gains a partition knows how quick engines are within 100 ms, and believes no
-// place to be held by the word of who may be gone.
-func TestANewOwnerKnowsPacesAtOnce(t *testing.T) {
+// TestNewOwnerLearnsPacesAtOnce checks that a process that gains a partition knows the paces of engines within 100 ms,
+// and ignores held slots in the view of a process that may be gone.
+func TestNewOwnerLearnsPacesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
@@ -162,13 +164,13 @@
 		b.reader.Hurry()
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(b.directory.UsualPaces("p"), map[string]time.Duration{"e": 20 * time.Millisecond})
-		is.True(b.hasRoom())
+		is.True(b.hasFreeSlot())
 		a.stop()
 		b.stop()
 	})
 }
 
-func TestARecordThatCantBeReadIsSkipped(t *testing.T) {
+func TestUndecodableRecordIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
@@ -181,8 +183,8 @@
 		}
 		a := newOwner(t, store, "a", io.Discard)
 		a.held.Store(4)
-		time.Sleep(viewDelay)
-		is.True(!b.hasRoom())
+		time.Sleep(maxViewDelay)
+		is.True(!b.hasFreeSlot())
 		a.stop()
 		b.stop()
 		synctest.Wait()
@@ -190,27 +192,27 @@
 	})
 }
 
-// TestRecordsStaySmall checks that an owner of 45 engines tells less than 2 KB at a time, and of the largest fleets only the engines that
-// it uses most.
+// TestRecordsStaySmall checks that the record of an owner that uses 45 engines takes less than 2 KB, and that the
+// record for a very large fleet contains only the engines with the most held slots.
 func TestRecordsStaySmall(t *testing.T) {
 	is := is.New(t)
-	of := func(engines int) []fleet.EngineView {
+	makeViews := func(engines int) []fleet.EngineView {
 		var views []fleet.EngineView
 		for i := range engines {
 			views = append(views, fleet.EngineView{Engine: fmt.Sprintf("i-%010d", i), Pace: 34567 * time.Microsecond, Held: i % 9})
 		}
 		return views
 	}
-	small, err := encode(of(45))
+	small, err := encode(makeViews(45))
 	is.NoErr(err)
 	is.True(len(small) < 2<<10)
-	back, err := decode(small)
+	decoded, err := decode(small)
 	is.NoErr(err)
-	is.Equal(back, of(45))
-	most := mostHeld(of(900))
+	is.Equal(decoded, makeViews(45))
+	most := mostHeld(makeViews(900))
 	is.Equal(len(most), maxEngines)
 	for _, next := range most {
-		is.True(next.Held >= 6) // places beyond the bound are of engines that are used less
+		is.True(next.Held >= 6) // engines beyond the limit hold fewer slots
 	}
 	large, err := encode(most)
 	is.NoErr(err)
@@ -220,7 +222,7 @@
 	is.True(none == nil)
 	wrong, err := encode([]fleet.EngineView{{Engine: "e", Pace: -time.Second, Held: -3}})
 	is.NoErr(err)
-	back, err = decode(wrong)
+	decoded, err = decode(wrong)
 	is.NoErr(err)
-	is.Equal(back, []fleet.EngineView{{Engine: "e"}})
+	is.Equal(decoded, []fleet.EngineView{{Engine: "e"}})
 }
--- a/internal/engineview/publisher.go
+++ b/internal/engineview/publisher.go
@@ -13,21 +13,23 @@
 )
 
 const (
-	// publishInterval is the least time between two records. With the time that the store takes, others know of a place within some 0.4 s,
-	// while items hold it for seconds; the owners of sixteen partitions of jobs write at most 64 records a second.
+	// publishInterval is the minimum time between two records. Including the latency of the store, others learn of a
+	// held slot within some 0.4 s, while items hold it for seconds. The owners of 16 partitions of jobs write at most
+	// 64 records/s.
 	publishInterval = 250 * time.Millisecond
-	// renewInterval is how often a view with places held is published although nothing has changed: well within the 1.5 s for which it counts.
+	// renewInterval is how often a view with held slots is published without a change: well within the 1.5 s for which
+	// a view is valid.
 	renewInterval = 500 * time.Millisecond
-	// publishAfterLast is how long after its last item a process publishes the paces that it measured, so that the next owners of its
-	// partitions read them.
-	publishAfterLast = 30 * time.Second
-	// paceChange is the part by which a pace has to change for a new record: medians of gaps vary by a few hundredths.
-	paceChange = 0.1
-	// leaveTimeout bounds the last record of a process that ends.
+	// publishLinger is how long after its last item a process publishes the paces that it measured, so that the next
+	// owners of its partitions read them.
+	publishLinger = 30 * time.Second
+	// minPaceChange is the relative change of a pace that requires a new record: medians of gaps vary by a few percent.
+	minPaceChange = 0.1
+	// leaveTimeout limits the time for the last record of a process that stops.
 	leaveTimeout = time.Second
 )
 
-// Source returns a process's own view of engines, given how many places its items hold at each.
+// Source provides a process's own view of engines, given how many slots its items hold at each.
 type Source interface {
 	LocalView(held map[string]int) []fleet.EngineView
 }
@@ -35,10 +37,10 @@
 // PublisherConfig configures a publisher.
 type PublisherConfig struct {
 	Log keyedlog.Log
-	// Machine names the machine that the process runs on, and keys its record.
+	// Machine is the name of the machine that the process runs on, and the key of its record.
 	Machine string
 	Source  Source
-	// Held returns how many places items hold, by engine.
+	// Held returns the number of slots that items hold, by engine.
 	Held   func() map[string]int
 	Logger *log.Logger
 }
@@ -46,27 +48,27 @@
 // Publisher publishes this process's view of engines. Only Written may be called while Run runs.
 type Publisher struct {
 	config PublisherConfig
-	// published is the view that others have, written at publishedAt.
+	// published is the view that was written last, at publishedAt.
 	published   []fleet.EngineView
 	publishedAt time.Time
-	// busyAt is when an item held a place last.
-	busyAt time.Time
-	// failing says that the last record could not be written.
+	// lastHeldAt is when an item last held a slot.
+	lastHeldAt time.Time
+	// failing is set if the last record could not be written.
 	failing bool
 	written atomic.Int64
 }
 
-// NewPublisher returns a publisher; Run starts it.
+// NewPublisher returns a publisher. Run starts it.
 func NewPublisher(config PublisherConfig) *Publisher {
 	return &Publisher{config: config}
 }
 
-// Written returns how many records were written.
+// Written returns the number of records written.
 func (p *Publisher) Written() int64 {
 	return p.written.Load()
 }
 
-// Run publishes until the context ends, and then that no places are held any more.
+// Run publishes until the context ends, and then publishes that no slots are held any more.
 func (p *Publisher) Run(ctx context.Context) {
 	ticker := time.NewTicker(publishInterval)
 	defer ticker.Stop()
@@ -86,10 +88,10 @@
 	now := time.Now()
 	held := p.config.Held()
 	if len(held) > 0 {
-		p.busyAt = now
+		p.lastHeldAt = now
 	}
 	var next []fleet.EngineView
-	if !p.busyAt.IsZero() && now.Sub(p.busyAt) < publishAfterLast {
+	if !p.lastHeldAt.IsZero() && now.Sub(p.lastHeldAt) < publishLinger {
 		next = mostHeld(p.config.Source.LocalView(held))
 	}
 	if changed(p.published, next) || len(held) > 0 && now.Sub(p.publishedAt) >= renewInterval {
@@ -97,7 +99,7 @@
 	}
 }
 
-// leave removes this process's view, if others have one.
+// leave removes this process's view if one is published.
 func (p *Publisher) leave(ctx context.Context) {
 	if len(p.published) == 0 {
 		return
@@ -128,7 +130,7 @@
 	p.written.Add(1)
 }
 
-// changed tells whether two views differ by enough for a new record. Both are in order of their engines' ids.
+// changed reports whether two views differ by enough for a new record. Both are sorted by engine id.
 func changed(last, next []fleet.EngineView) bool {
 	if len(last) != len(next) {
 		return true
@@ -138,7 +140,7 @@
 		if before.Engine != after.Engine || before.Held != after.Held {
 			return true
 		}
-		if math.Abs(float64(after.Pace-before.Pace)) > paceChange*float64(before.Pace) {
+		if math.Abs(float64(after.Pace-before.Pace)) > minPaceChange*float64(before.Pace) {
 			return true
 		}
 	}
--- a/internal/engineview/reader.go
+++ b/internal/engineview/reader.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// readSpacing is the least time between two reads, so that each brings the records of several owners.
+	// readSpacing is the minimum time between two reads, so that each returns the records of several owners.
 	readSpacing = 100 * time.Millisecond
 	// readWait is how long the store may hold a read open.
 	readWait = 2 * time.Second
@@ -20,7 +20,7 @@
 	idleCheck = time.Second
 )
 
-// Directory takes the views of other processes.
+// Directory stores the views of other processes.
 type Directory interface {
 	SetPeerView(process string, engines []fleet.EngineView, recovered bool)
 }
@@ -28,31 +28,31 @@
 // ReaderConfig configures a reader.
 type ReaderConfig struct {
 	Log keyedlog.Log
-	// Machine names the machine that the process runs on, whose own record is skipped.
+	// Machine is the name of the machine that the process runs on, whose own record is skipped.
 	Machine   string
 	Directory Directory
-	// Busy tells whether this process places items or deals engines. While it does not, nothing is read.
+	// Busy reports whether this process places items or assigns engines. While it does not, nothing is read.
 	Busy   func() bool
 	Logger *log.Logger
 }
 
-// Reader reads the views of others while its process uses them.
+// Reader reads the views of other processes while its own process uses them.
 type Reader struct {
 	config ReaderConfig
-	wanted chan struct{}
+	wake   chan struct{}
 	// unreadable holds the machines whose last record could not be decoded; each is logged once.
 	unreadable map[string]bool
 }
 
-// NewReader returns a reader; Run starts it.
+// NewReader returns a reader. Run starts it.
 func NewReader(config ReaderConfig) *Reader {
-	return &Reader{config: config, wanted: make(chan struct{}, 1), unreadable: make(map[string]bool)}
+	return &Reader{config: config, wake: make(chan struct{}, 1), unreadable: make(map[string]bool)}
 }
 
-// Hurry has the reader begin at once. It must be called when the process begins to use the views.
+// Hurry makes the reader start to read at once. It must be called when the process begins to use the views.
 func (r *Reader) Hurry() {
 	select {
-	case r.wanted <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
@@ -61,14 +61,15 @@
 func (r *Reader) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
-		case <-r.wanted:
+		case <-r.wake:
 			r.follow(ctx)
 		case <-ctx.Done():
 		}
 	}
 }
 
-// follow reads until the process is not busy any more. It begins with the newest record of each key, since only that counts.
+// follow reads until the process is not busy any more. It begins with the newest record of each key, because older ones
+// have no effect.
 func (r *Reader) follow(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -94,7 +95,7 @@
 	<-ended
 }
 
-// Apply passes a record on to the directory.
+// Apply passes the view of a record to the directory.
 func (r *Reader) Apply(record keyedlog.Record, recovered bool) {
 	if record.Key == r.config.Machine {
 		return
@@ -111,5 +112,5 @@
 	r.config.Directory.SetPeerView(record.Key, views, recovered)
 }
 
-// Advanced does nothing, since records don't depend on each other.
+// Advanced does nothing, because records don't depend on each other.
 func (r *Reader) Advanced(int64) {}
--- a/internal/engineview/records.go
+++ b/internal/engineview/records.go
@@ -1,6 +1,7 @@
-// Package engineview shares what owners of jobs know of engines: the usual pace of each, and how many of its places their items hold. Each
-// owner publishes its view in one partition of the store, under its machine's name and without a fence; processes that place items or deal
-// engines among models read it. A view is a hint: a lost or late one changes which engine is asked first, and nothing that is promised.
+// Package engineview shares what owners of jobs know about engines: the usual pace of each, and how many of its slots
+// their items hold. Each owner publishes its view in one partition of the store, under its machine's name and without a
+// fence. Processes that place items or assign engines to models read it. A view is a hint: a lost or late one changes
+// only which engine is tried first, and breaks no guarantee.
 package engineview
 
 import (
@@ -21,20 +22,21 @@
 	Engines []engine `msg:"engines"`
 }
 
-// engine is the part of a view on one engine. As an array it takes some 20 bytes, so that a view of 45 engines takes 1 KB. Fields may be added
-// at its end: versions that don't know them leave them out, and take those that are missing for zero.
+// engine is the part of a view that describes one engine. Encoded as an array it takes some 20 bytes, so that a view of
+// 45 engines takes 1 KB. Fields may be added at its end: versions that don't know a field skip it, and treat a missing
+// one as zero.
 type engine struct {
 	ID string `msg:"id"`
 	// Pace is the usual time between two events in microseconds, 0 if unknown.
 	Pace int64 `msg:"pace"`
-	// Held is how many places items of the process hold there.
+	// Held is the number of slots that items of the process hold there.
 	Held int `msg:"held"`
 }
 
-// maxEngines bounds a record to some 5 KB: items of one owner rarely hold places at more engines.
+// maxEngines limits a record to some 5 KB: items of one owner rarely hold slots at more engines.
 const maxEngines = 256
 
-// encode returns the record of a view, nil for an empty one, which has the store drop the key.
+// encode returns the record of a view, nil for an empty one, for which the store drops the key.
 func encode(views []fleet.EngineView) ([]byte, error) {
 	if len(views) == 0 {
 		return nil, nil
@@ -46,7 +48,7 @@
 	return record.MarshalMsg(nil)
 }
 
-// decode returns the view of a record. Negative numbers count as 0.
+// decode returns the view of a record. Negative numbers are treated as 0.
 func decode(value []byte) ([]fleet.EngineView, error) {
 	if value == nil {
 		return nil, nil
@@ -64,7 +66,7 @@
 	return views, nil
 }
 
-// mostHeld cuts a view down to the maxEngines engines with the most places held. Views are in order of engines' ids.
+// mostHeld reduces a view to the maxEngines engines with the most held slots. Views are sorted by engine id.
 func mostHeld(views []fleet.EngineView) []fleet.EngineView {
 	if len(views) <= maxEngines {
 		return views
