--- a/internal/enginelist/enginelist_test.go
+++ b/internal/enginelist/enginelist_test.go
@@ -223,7 +223,8 @@
 	})
 }
 
-// TestStaleWriteIsRepaired has a process that was suspended overwrite a current entry with an outdated one.
+// TestStaleWriteIsRepaired has a process that was suspended overwrite a current entry with an outdated one. Readers
+// must keep the current entry, and a reader that starts after the repair must receive it.
 func TestStaleWriteIsRepaired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/replica/engines.go
+++ b/internal/replica/engines.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	// lingerFor is how long a process goes on at most reading what only owners need after it holds nothing: partitions move back and forth
-	// while machines come and go, and to begin anew costs all records of engines. It is no longer than it held something: of hundreds of
-	// processes that start together many hold a partition for a moment.
-	lingerFor = 2 * time.Second
+	// lingerPeriod is the maximum time for which a process goes on reading what only owners need after it has released
+	// all partitions: partitions move back and forth while machines come and go, and starting over requires all records
+	// of engines. The time is also limited to how long the process held something: of hundreds of processes that start
+	// together, many hold a partition for a moment.
+	lingerPeriod = 2 * time.Second
 )
 
-// holdings notes the partitions that this process holds. It is safe for concurrent use.
+// holdings tracks the partitions that this process holds. It is safe for concurrent use.
 type holdings struct {
 	mutex   sync.Mutex
 	held    map[keyedlog.Partition]int
@@ -31,7 +32,7 @@
 	return &holdings{held: make(map[keyedlog.Partition]int), changed: broadcast.New()}
 }
 
-// add counts a partition as held, or not any more.
+// add adds count, 1 or -1, to the number of times that a partition is held.
 func (h *holdings) add(partition keyedlog.Partition, count int) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -42,12 +43,12 @@
 	h.changed.Notify()
 }
 
-// any tells whether a partition is held for which a condition holds.
-func (h *holdings) any(met func(partition keyedlog.Partition) bool) bool {
+// any reports whether a partition is held that satisfies a condition.
+func (h *holdings) any(condition func(partition keyedlog.Partition) bool) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for partition := range h.held {
-		if met(partition) {
+		if condition(partition) {
 			return true
 		}
 	}
@@ -61,33 +62,34 @@
 	return h.changed.Changed()
 }
 
-// noted has the partitions of a holder noted.
-type noted struct {
+// trackingHolder records the partitions of a holder in holdings.
+type trackingHolder struct {
 	ownership.Holder
 	holdings *holdings
 }
 
 // Gained starts the work of a partition.
-func (n noted) Gained(ctx context.Context, partition keyedlog.Partition, generation int64) ownership.Work {
-	n.holdings.add(partition, 1)
-	return &notedWork{Work: n.Holder.Gained(ctx, partition, generation), holdings: n.holdings, partition: partition}
+func (h trackingHolder) Gained(ctx context.Context, partition keyedlog.Partition, generation int64) ownership.Work {
+	h.holdings.add(partition, 1)
+	return &trackedWork{Work: h.Holder.Gained(ctx, partition, generation), holdings: h.holdings, partition: partition}
 }
 
-type notedWork struct {
+type trackedWork struct {
 	ownership.Work
 	holdings  *holdings
 	partition keyedlog.Partition
 }
 
 // Release ends the work.
-func (w *notedWork) Release(ctx context.Context) {
+func (w *trackedWork) Release(ctx context.Context) {
 	w.Work.Release(ctx)
 	w.holdings.add(w.partition, -1)
 }
 
-// acts tells whether this process holds a partition whose owner acts on engines: it chooses among them, orders them or keeps their list.
-// Their number does not grow with the fleet, unlike that of the processes.
-func (r *Replica) acts() bool {
+// actsOnEngines reports whether this process holds a partition whose owner acts on engines: it selects engines, sends
+// orders to them or keeps their list. The number of such processes does not grow with the fleet, unlike that of all
+// processes.
+func (r *Replica) actsOnEngines() bool {
 	current := r.catalog.Current()
 	if current == nil {
 		return false
@@ -114,13 +116,13 @@
 	return r.config.Log.Partitions(keyedlog.TopicEngineList)
 }
 
-// whenever runs something while it is wanted, and for lingerFor longer, until the context ends. What is wanted depends on the catalog and
-// on the partitions held.
-func (r *Replica) whenever(ctx context.Context, wanted func() bool, run func(ctx context.Context)) {
+// runWhenWanted calls run while it is wanted, and for up to lingerPeriod longer, until the context ends. wanted depends
+// on the catalog and on the partitions held.
+func (r *Replica) runWhenWanted(ctx context.Context, wanted func() bool, run func(ctx context.Context)) {
 	for ctx.Err() == nil {
 		changed, moved := r.catalog.Changed(), r.holdings.Changed()
 		if wanted() {
-			r.during(ctx, wanted, run)
+			r.runUntilUnwanted(ctx, wanted, run)
 			continue
 		}
 		select {
@@ -131,8 +133,8 @@
 	}
 }
 
-// during runs something until it is not wanted any more and has lingered, or the context ends.
-func (r *Replica) during(ctx context.Context, wanted func() bool, run func(ctx context.Context)) {
+// runUntilUnwanted calls run until it is no longer wanted and the linger time has passed, or the context ends.
+func (r *Replica) runUntilUnwanted(ctx context.Context, wanted func() bool, run func(ctx context.Context)) {
 	runCtx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	running.Go(func() { run(runCtx) })
@@ -142,7 +144,7 @@
 	var unwanted time.Time
 	for ctx.Err() == nil {
 		changed, moved := r.catalog.Changed(), r.holdings.Changed()
-		var over <-chan time.Time
+		var lingerEnd <-chan time.Time
 		switch {
 		case wanted():
 			unwanted = time.Time{}
@@ -150,16 +152,16 @@
 			unwanted = time.Now()
 		}
 		if !unwanted.IsZero() {
-			end := unwanted.Add(min(lingerFor, unwanted.Sub(began)))
+			end := unwanted.Add(min(lingerPeriod, unwanted.Sub(began)))
 			if !time.Now().Before(end) {
 				return
 			}
-			over = time.After(time.Until(end))
+			lingerEnd = time.After(time.Until(end))
 		}
 		select {
 		case <-changed:
 		case <-moved:
-		case <-over:
+		case <-lingerEnd:
 		case <-ctx.Done():
 		}
 	}
@@ -167,30 +169,30 @@
 
 // readEngines reads the engines' own records while this process acts on engines, until the context ends.
 func (r *Replica) readEngines(ctx context.Context) {
-	r.whenever(ctx, r.acts, func(ctx context.Context) {
+	r.runWhenWanted(ctx, r.actsOnEngines, func(ctx context.Context) {
 		applier := &engineApplier{decoder: r.config.Decoder, directory: r.directory, list: r.list, logger: r.config.Logger}
 		follower := r.follow(keyedlog.Partition{Topic: keyedlog.TopicEngines}, applier)
 		applier.returned = follower.Returned
 		follower.Run(ctx)
-		applier.end()
+		applier.stop()
 		r.list.ForgetOwnRecords()
 	})
 }
 
-// followWeights follows the announcements for each pool of models whose engines this process acts on or sends requests to, until the
-// context ends.
+// followWeights follows the announcements for each pool of models whose engines this process acts on or sends requests
+// to, until the context ends.
 func (r *Replica) followWeights(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
 	for number, follower := range r.weights {
 		running.Go(func() {
-			r.whenever(ctx, func() bool { return r.needsOrders(number) }, follower.Run)
+			r.runWhenWanted(ctx, func() bool { return r.needsOrders(number) }, follower.Run)
 		})
 	}
 	<-ctx.Done()
 }
 
-// needsOrders tells whether this process has to know of the orders in a partition.
+// needsOrders reports whether this process has to know the orders in a partition.
 func (r *Replica) needsOrders(number int) bool {
 	current := r.catalog.Current()
 	if current == nil {
@@ -198,7 +200,7 @@
 	}
 	requested := current.RequestedPools()
 	for _, pool := range current.Pools {
-		if len(pool.Models) > 0 && weightroll.PartitionOf(pool.Name, len(r.weights)).Number == number && (requested[pool.Name] || r.acts()) {
+		if len(pool.Models) > 0 && weightroll.PartitionOf(pool.Name, len(r.weights)).Number == number && (requested[pool.Name] || r.actsOnEngines()) {
 			return true
 		}
 	}
@@ -219,7 +221,7 @@
 				partition := enginelist.PartitionOf(pool, r.listPartitions())
 				if !followed[partition] {
 					followed[partition] = true
-					running.Go(func() { r.followListed(ctx, partition) })
+					running.Go(func() { r.followListPartition(ctx, partition) })
 				}
 			}
 		}
@@ -231,16 +233,16 @@
 	}
 }
 
-// followListed follows a partition of the list of engines, from all or some of its entries on.
-func (r *Replica) followListed(ctx context.Context, partition keyedlog.Partition) {
+// followListPartition follows a partition of the list of engines, beginning with all or some of its entries.
+func (r *Replica) followListPartition(ctx context.Context, partition keyedlog.Partition) {
 	for ctx.Err() == nil {
-		whole := r.needsWhole(partition)
-		r.during(ctx, func() bool { return r.needsWhole(partition) == whole }, func(ctx context.Context) {
+		whole := r.needsWholeList(partition)
+		r.runUntilUnwanted(ctx, func() bool { return r.needsWholeList(partition) == whole }, func(ctx context.Context) {
 			reader := enginelist.NewReader(r.list, partition.Number, whole, r.config.Logger)
 			defer reader.Close()
 			config := r.followConfig(partition, reader)
 			if !whole {
-				config.Sample = enginelist.HashKey(holderName(r.config.Settings))
+				config.Sample = enginelist.HashKey(memberName(r.config.Settings))
 			}
 			follower := follow.New(config)
 			reader.Attach(follower)
@@ -249,14 +251,15 @@
 	}
 }
 
-// needsWhole tells whether this process has to know all entries of a partition of the list: it acts on engines and sees to it that they are
-// right, or several pools lie there, of which some entries may leave out the smaller one.
-func (r *Replica) needsWhole(partition keyedlog.Partition) bool {
+// needsWholeList reports whether this process has to know all entries of a partition of the list: it acts on engines
+// and keeps the entries up to date, or the partition contains several pools, of which a part of the entries may lack
+// the smaller one.
+func (r *Replica) needsWholeList(partition keyedlog.Partition) bool {
 	pools := 0
 	for pool := range r.catalog.Current().RequestedPools() {
 		if enginelist.PartitionOf(pool, r.listPartitions()) == partition {
 			pools++
 		}
 	}
-	return pools > 1 || r.acts()
+	return pools > 1 || r.actsOnEngines()
 }
--- a/internal/replica/evacuation_test.go
+++ b/internal/replica/evacuation_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// zoneDecoder takes each key of the operator's topic for a zone that is evacuated.
+// zoneDecoder decodes each key of the operator's topic as an evacuated zone.
 type zoneDecoder struct{ RecordDecoder }
 
 func (zoneDecoder) OperatorKey(key string) (OperatorRecord, string) {
@@ -23,8 +23,9 @@
 	return OperatorEvacuation, zone
 }
 
-// TestAZoneIsEvacuatedUntilItsRecordIsDropped applies the operator's record of a zone, and its drop.
-func TestAZoneIsEvacuatedUntilItsRecordIsDropped(t *testing.T) {
+// TestZoneIsEvacuatedUntilItsRecordIsDropped applies the operator's record of a zone, and then its drop: the engines of
+// the zone must get no work in between.
+func TestZoneIsEvacuatedUntilItsRecordIsDropped(t *testing.T) {
 	is := is.New(t)
 	directory := fleet.NewDirectory()
 	directory.Upsert(fleet.Engine{ID: "e", Pool: "p", Zone: "zone-a", Slots: 1})
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -20,8 +20,9 @@
 	"github.com/matryer/is"
 )
 
-// A fleet of the test: engines of an application that requests are sent to, and many more of models, whose work comes as jobs. The store
-// gives as many bytes a second as a twentieth of all processes reading all engines would take.
+// The fleet of the test: engines of an application that requests are sent to, and many more of models, whose work comes
+// as jobs. The read rate of the store, in bytes per second, is a twentieth of what all processes would need to read all
+// engines within one second.
 const (
 	fleetProcesses = 120
 	fleetRequested = 200
@@ -30,7 +31,8 @@
 	fleetReadRate  = fleetProcesses * (fleetRequested + fleetTrained) * recordBytes / 20
 )
 
-// fleetDecoder decodes records of the test's engines: pool and address, filled up with blanks. Any configuration has two routes.
+// fleetDecoder decodes records of the test's engines: pool and address, padded with blanks. Any configuration has two
+// routes.
 type fleetDecoder struct{ RecordDecoder }
 
 func (fleetDecoder) Engine(id string, value []byte) (fleet.Engine, error) {
@@ -85,7 +87,7 @@
 	f.put(keyedlog.Partition{Topic: keyedlog.TopicEngines}, id, value)
 }
 
-// register has all engines write their records.
+// register writes the records of all engines.
 func (f *testFleet) register() {
 	for i := range fleetRequested {
 		f.engine(fmt.Sprint("a", i), "application", i, "")
@@ -95,7 +97,7 @@
 	}
 }
 
-// start starts all replicas within a third of a second.
+// start starts all replicas within 0.3 s.
 func (f *testFleet) start() {
 	ctx, cancel := context.WithCancel(f.Context())
 	stop := make(chan struct{})
@@ -127,8 +129,8 @@
 	}
 }
 
-// knowing counts the replicas that know so many engines of a pool.
-func (f *testFleet) knowing(pool string, engines int) int {
+// countKnowing returns the number of replicas that know the given number of engines of a pool.
+func (f *testFleet) countKnowing(pool string, engines int) int {
 	count := 0
 	for _, r := range f.replicas {
 		if len(r.directory.Pool(pool)) == engines {
@@ -138,10 +140,11 @@
 	return count
 }
 
-// TestAFleetKnowsItsEnginesSoonAfterItsStart starts many replicas before many engines, whose records all together the store could give to a
-// twentieth of them in a second. All replicas must know where to send requests within the seconds that callers leave to a start, those that
-// own jobs the engines of the models too. Then an engine says that it leaves, and all replicas stop and start at once.
-func TestAFleetKnowsItsEnginesSoonAfterItsStart(t *testing.T) {
+// TestReplicasKnowEnginesSoonAfterStart starts many replicas before many engines; the store can deliver the records of
+// all engines to only a twentieth of the replicas in a second. All replicas must know where to send requests within the
+// seconds that callers allow for a start, and those that own jobs must also know the engines of the models. Then an
+// engine begins to leave, and all replicas stop and restart at once.
+func TestReplicasKnowEnginesSoonAfterStart(t *testing.T) {
 	const (
 		startWithin   = 5 * time.Second
 		changeWithin  = 1500 * time.Millisecond
@@ -154,7 +157,7 @@
 		time.Sleep(time.Second)
 		f.register()
 		time.Sleep(startWithin)
-		is.Equal(f.knowing("application", fleetRequested), fleetProcesses)
+		is.Equal(f.countKnowing("application", fleetRequested), fleetProcesses)
 		owners := 0
 		for _, r := range f.replicas {
 			is.True(r.Ready())
@@ -173,12 +176,12 @@
 		}
 		f.put(keyedlog.Partition{Topic: keyedlog.TopicEngines}, "a7", nil)
 		time.Sleep(changeWithin)
-		is.Equal(f.knowing("application", fleetRequested-1), fleetProcesses)
+		is.Equal(f.countKnowing("application", fleetRequested-1), fleetProcesses)
 
 		f.stop()
 		f.start()
 		time.Sleep(restartWithin)
-		is.Equal(f.knowing("application", fleetRequested-1), fleetProcesses)
+		is.Equal(f.countKnowing("application", fleetRequested-1), fleetProcesses)
 		for _, r := range f.replicas {
 			is.True(r.Ready())
 		}
--- a/internal/replica/groups.go
+++ b/internal/replica/groups.go
@@ -11,92 +11,94 @@
 	"github.com/hillfork/hillfork/internal/ownership"
 )
 
-// The groups of replicas in the store.
+// Names of the groups of replicas in the store.
 const (
 	jobsGroup    = "hillfork-jobs"
 	weightsGroup = "hillfork-weights"
 )
 
-// joinGroups has the partitions of jobs, weights and duties dealt among the replicas.
+// joinGroups sets up the groups that assign the partitions of jobs, weights and duties to the replicas.
 func (r *Replica) joinGroups(runners, rollers ownership.Holder, reporting []duty.Duty) {
 	settings := r.config.Settings
 	lifetime := memberLifetime(settings.MemberLifetimeMin)
-	leased := max(lifetime, weightsShare*settings.OrderLease/weightsParts)
-	r.own(jobsGroup, lifetime, settings.ProcessorShare, holders{keyedlog.TopicJobs: runners})
+	weightsLifetime := max(lifetime, weightsShare*settings.OrderLease/weightsParts)
+	r.joinGroup(jobsGroup, lifetime, settings.ProcessorShare, topicHolders{keyedlog.TopicJobs: runners})
 	r.metrics.member(r.managers[0].Participates)
 	duties := slices.Concat(reporting, r.orderEngines())
 	r.duties = len(duties)
-	// The owner of weights, duties and the list of engines does little, and hands over slowly: machines of any size take part.
-	r.own(weightsGroup, leased, 0, holders{
+	// The owner of weights, duties and the list of engines has little work and hands over slowly, so machines of any
+	// size are members.
+	r.joinGroup(weightsGroup, weightsLifetime, 0, topicHolders{
 		keyedlog.TopicWeights: rollers,
 		keyedlog.TopicDuties: duty.NewHolder(duty.Config{
-			Log: r.config.Log, Machine: holderName(settings), Lease: settings.OrderLease, Duties: duties, Logger: r.config.Logger,
+			Log: r.config.Log, Machine: memberName(settings), Lease: settings.OrderLease, Duties: duties, Logger: r.config.Logger,
 		}),
 		keyedlog.TopicEngineList: r.keeper,
 	})
 }
 
-// weightsShare of weightsParts is the part of the order lease for which the partition of weights waits for its owner. Another
-// machine may order an engine only a lease after its last order, so that for most engines nothing is lost by waiting; a process that
-// is back before, as after a loss of power, goes on at once. Engines whose last order is older than that lose it, so it is not the
-// whole lease.
+// weightsShare/weightsParts is the fraction of the order lease for which the partition of weights waits for its owner.
+// Another machine may send an order to an engine only one lease after the last order, so that for most engines the wait
+// costs nothing. A process that is back sooner, as after a power loss, continues at once. For an engine whose last
+// order is older the wait is lost time, so the fraction is less than 1.
 const (
 	weightsShare = 2
 	weightsParts = 3
 )
 
-// own has the partitions of some topics dealt by a group. share is what this machine has of a processor, in cores; with 0 it takes part in
-// any case.
-func (r *Replica) own(group string, lifetime time.Duration, share float64, topics holders) {
+// joinGroup sets up a group that assigns the partitions of some topics. share is the machine's share of a processor, in
+// cores; with 0 the machine is always a member.
+func (r *Replica) joinGroup(group string, lifetime time.Duration, share float64, topics topicHolders) {
 	r.managers = append(r.managers, ownership.New(ownership.Config{
-		Log: r.config.Log, Group: group, Member: holderName(r.config.Settings), Share: share, Topics: slices.Sorted(maps.Keys(topics)),
-		Lifetime: lifetime, Holder: noted{hurrying{topics, r.hurried()}, r.holdings}, Logger: r.config.Logger,
+		Log: r.config.Log, Group: group, Member: memberName(r.config.Settings), Share: share, Topics: slices.Sorted(maps.Keys(topics)),
+		Lifetime: lifetime, Holder: trackingHolder{promptingHolder{topics, r.promptReaders()}, r.holdings}, Logger: r.config.Logger,
 	}))
 }
 
-// holders start the work of partitions by their topics.
-type holders map[keyedlog.Topic]ownership.Holder
+// topicHolders starts the work of partitions by topic.
+type topicHolders map[keyedlog.Topic]ownership.Holder
 
 // Gained starts the work of a partition.
-func (h holders) Gained(ctx context.Context, partition keyedlog.Partition, generation int64) ownership.Work {
+func (h topicHolders) Gained(ctx context.Context, partition keyedlog.Partition, generation int64) ownership.Work {
 	return h[partition.Topic].Gained(ctx, partition, generation)
 }
 
-// hurrying has the orders, the views of engines and the index of jobs read at once when a partition is gained: its owner chooses engines by what
-// they serve, their pace and the places held there, and deals them by what steps ask.
-type hurrying struct {
+// promptingHolder makes the readers of the orders, the views of engines and the index of jobs read at once when a
+// partition is gained: its owner selects engines by the models that they serve, their pace and the slots held there,
+// and assigns them by the requirements of steps.
+type promptingHolder struct {
 	ownership.Holder
-	readers []hurried
+	readers []promptReader
 }
 
-// hurried reads something that an owner acts on.
-type hurried interface {
+// promptReader reads data that an owner acts on.
+type promptReader interface {
 	Hurry()
 }
 
-// hurried returns what is to be read at once by a process that gains a partition.
-func (r *Replica) hurried() []hurried {
-	return append(convert[hurried](r.weights), r.viewReader, r.indexFollower)
+// promptReaders returns the readers that must read at once when this process gains a partition.
+func (r *Replica) promptReaders() []promptReader {
+	return append(convert[promptReader](r.weights), r.viewReader, r.indexFollower)
 }
 
 // Gained starts the work of a partition.
-func (h hurrying) Gained(ctx context.Context, partition keyedlog.Partition, generation int64) ownership.Work {
+func (h promptingHolder) Gained(ctx context.Context, partition keyedlog.Partition, generation int64) ownership.Work {
 	for _, reader := range h.readers {
 		reader.Hurry()
 	}
 	return h.Holder.Gained(ctx, partition, generation)
 }
 
-// holderName names the machine as a member of the group and as a giver of orders. A process that is started again before its
-// predecessor's lifetime has passed finds its partitions as they were; fences tell the two apart. A machine that comes in another's
-// place under its name has another address, and is another holder.
-func holderName(settings Settings) string {
+// memberName returns the name of the machine as a member of a group and as the sender of orders. A process that
+// restarts before its predecessor's lifetime has passed regains its partitions; fences distinguish the two. A
+// replacement machine with the same name has another address, and is another holder.
+func memberName(settings Settings) string {
 	return settings.Node + "@" + settings.IP
 }
 
-// lifetimeFactor leaves room above the store's least for a few slow joins in a row.
+// lifetimeFactor adds a margin to the store's minimum for a few slow joins in a row.
 const lifetimeFactor = 1.25
 
-func memberLifetime(least time.Duration) time.Duration {
-	return time.Duration(lifetimeFactor * float64(least))
+func memberLifetime(minLifetime time.Duration) time.Duration {
+	return time.Duration(lifetimeFactor * float64(minLifetime))
 }
--- a/internal/replica/hurrying_test.go
+++ b/internal/replica/hurrying_test.go
@@ -15,17 +15,17 @@
 	"github.com/matryer/is"
 )
 
-// anyHolder starts no work.
-type anyHolder struct{ gained int }
+// fakeHolder counts gained partitions and starts no work.
+type fakeHolder struct{ gained int }
 
-func (h *anyHolder) Gained(context.Context, keyedlog.Partition, int64) ownership.Work {
+func (h *fakeHolder) Gained(context.Context, keyedlog.Partition, int64) ownership.Work {
 	h.gained++
 	return nil
 }
 
-// TestAGainedPartitionHasOrdersReadAtOnce checks that a process which has put its first read of orders off makes it when it is dealt a
-// partition.
-func TestAGainedPartitionHasOrdersReadAtOnce(t *testing.T) {
+// TestGainedPartitionTriggersReadOfOrders checks that a process that has delayed its first read of orders reads them
+// when it gains a partition.
+func TestGainedPartitionTriggersReadOfOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memorylog.New(memorylog.Config{Partitions: 1})
@@ -40,8 +40,8 @@
 		synctest.Wait()
 		is.True(!orders.CaughtUp())
 
-		holder := &anyHolder{}
-		hurrying{holder, []hurried{orders}}.Gained(ctx, keyedlog.Partition{Topic: keyedlog.TopicJobs}, 1)
+		holder := &fakeHolder{}
+		promptingHolder{holder, []promptReader{orders}}.Gained(ctx, keyedlog.Partition{Topic: keyedlog.TopicJobs}, 1)
 		synctest.Wait()
 		is.True(orders.CaughtUp())
 		is.Equal(holder.gained, 1)
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -15,7 +15,7 @@
 
 const metricsNamespace = "hillfork"
 
-// metrics holds what a replica measures.
+// metrics holds the metrics of a replica.
 type metrics struct {
 	registry   *prometheus.Registry
 	requests   *prometheus.HistogramVec
@@ -48,12 +48,12 @@
 	})
 }
 
-func (m *metrics) request(outcome forward.Outcome, took time.Duration) {
-	m.requests.WithLabelValues(outcome.String()).Observe(took.Seconds())
+func (m *metrics) request(outcome forward.Outcome, elapsed time.Duration) {
+	m.requests.WithLabelValues(outcome.String()).Observe(elapsed.Seconds())
 }
 
-func (m *metrics) rolled(took time.Duration) {
-	m.weights.Observe(took.Seconds())
+func (m *metrics) rolled(elapsed time.Duration) {
+	m.weights.Observe(elapsed.Seconds())
 }
 
 func (m *metrics) measures() *jobrun.Measures {
@@ -66,27 +66,27 @@
 	return func(took time.Duration) { histogram.Observe(took.Seconds()) }
 }
 
-// gauge registers a gauge that is read when the metrics are asked for.
+// gauge registers a gauge that is read when the metrics are collected.
 func (m *metrics) gauge(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help}, read))
 }
 
-// counter registers a counter that is read when the metrics are asked for.
+// counter registers a counter that is read when the metrics are collected.
 func (m *metrics) counter(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help}, read))
 }
 
-// quarantine registers the number of contents in quarantine.
+// quarantine registers the number of request contents in quarantine.
 func (m *metrics) quarantine(contents func() int) {
 	m.gauge("quarantine_contents", "Contents of requests under which engines ended.", func() float64 { return float64(contents()) })
 }
 
-// ejected registers the number of engines that are ejected.
+// ejected registers the number of ejected engines.
 func (m *metrics) ejected(engines func() int) {
 	m.gauge("engines_ejected", "Engines that take no work of this process for their failures.", func() float64 { return float64(engines()) })
 }
 
-// unread registers the counts of the budget of unread answers.
+// unread registers the metrics of the memory budget for unread answers.
 func (m *metrics) unread(stats func() unread.Stats) {
 	m.gauge("unread_bytes", "Memory reserved for answers that callers have not read.", func() float64 { return float64(stats().Held) })
 	m.counter("unread_cut_total", "Callers cut off because they took nothing of their answer.", func() float64 { return float64(stats().Cut) })
@@ -95,17 +95,18 @@
 	})
 }
 
-// member registers whether this replica takes part in owning partitions of jobs.
-func (m *metrics) member(takesPart func() bool) {
+// member registers whether this replica is a member of the group that owns the partitions of jobs.
+func (m *metrics) member(participates func() bool) {
 	m.gauge("jobs_member", "1 if the replica takes part in owning partitions of jobs, 0 if it stands by.", func() float64 {
-		if takesPart() {
+		if participates() {
 			return 1
 		}
 		return 0
 	})
 }
 
-// views registers what is known of engines from peers alone, and how many records of its own view this process wrote.
+// views registers what is known of engines only from the views of other owners, and how many records of its own view
+// this process wrote.
 func (m *metrics) views(written func() int64, known func() fleet.PeerSummary) {
 	m.counter("engine_views_written_total", "Records written of what this process knows of engines.", func() float64 {
 		return float64(written())
--- a/internal/replica/records.go
+++ b/internal/replica/records.go
@@ -14,7 +14,7 @@
 	"github.com/hillfork/hillfork/internal/weightroll"
 )
 
-// OperatorRecord says what a record of the operator's topic holds.
+// OperatorRecord is the kind of a record of the operator's topic.
 type OperatorRecord int
 
 // Kinds of operator records.
@@ -25,19 +25,19 @@
 	OperatorEvacuation
 )
 
-// RecordDecoder decodes the records that others write into the store.
+// RecordDecoder decodes the records that other components write into the store.
 type RecordDecoder interface {
 	// Catalog decodes the operator's configuration.
 	Catalog(value []byte) (*catalog.Catalog, error)
-	// OperatorKey tells what a record of the operator's topic holds, and of which model or zone.
+	// OperatorKey returns the kind of a record of the operator's topic, and the model or zone that it applies to.
 	OperatorKey(key string) (OperatorRecord, string)
 	// NamedVersion decodes a version that a trainer has named.
 	NamedVersion(value []byte) (int64, error)
-	// Engine decodes what an engine records of itself.
+	// Engine decodes the own record of an engine.
 	Engine(id string, value []byte) (fleet.Engine, error)
 }
 
-// operatorApplier takes the operator's records.
+// operatorApplier applies the operator's records.
 type operatorApplier struct {
 	decoder   RecordDecoder
 	holder    *catalog.Holder
@@ -58,11 +58,11 @@
 	case OperatorConfiguration:
 		a.configure(record, recovered)
 	case OperatorVersion:
-		a.name(record, name)
+		a.setVersion(record, name)
 	}
 }
 
-// evacuate takes that a zone is evacuated, or taken back where the record was dropped.
+// evacuate marks a zone as evacuated, or as back in use if the record was dropped.
 func (a *operatorApplier) evacuate(record keyedlog.Record, zone string) {
 	evacuated := record.Value != nil
 	a.directory.SetEvacuated(zone, evacuated)
@@ -84,7 +84,7 @@
 	}
 }
 
-func (a *operatorApplier) name(record keyedlog.Record, model string) {
+func (a *operatorApplier) setVersion(record keyedlog.Record, model string) {
 	version, err := a.decoder.NamedVersion(record.Value)
 	if err != nil {
 		errorlog.Warn(a.logger, "named version skipped", err, "model", model, "offset", record.Offset)
@@ -98,32 +98,33 @@
 // Advanced does nothing: the holder is set record by record.
 func (a *operatorApplier) Advanced(int64) {}
 
-// returnWindow is how long after the store's return an engine may take to record itself anew whose entry lapsed while the store
-// was away; the users' platform promises about two seconds.
-const returnWindow = 2 * time.Second
+// renewalWindow is how long after the return of the store an engine may take to write its record again if it lapsed
+// while the store was down. The users' platform guarantees about 2 s.
+const renewalWindow = 2 * time.Second
 
-// engineApplier takes the engines' records of themselves. An engine whose record is dropped is gone, unless the store has just
-// returned: then the record may have lapsed while the engine could not renew it, and the engine is kept until it has had time to.
+// engineApplier applies the engines' own records. An engine whose record is dropped is gone, unless the store has just
+// returned: then the record may have lapsed while the engine could not renew it, and the engine is kept until it has
+// had time to do so.
 type engineApplier struct {
 	decoder   RecordDecoder
 	directory *fleet.Directory
-	// list is told of each record.
+	// list receives each record.
 	list   *enginelist.List
 	logger *log.Logger
-	// returned is when the store answered again after it had not.
+	// returned returns when the store answered again after an outage.
 	returned func() time.Time
-	// news is what the read under way has brought.
-	news news
+	// changes holds the engines that the current read added or changed.
+	changes engineChanges
 
 	mutex sync.Mutex
-	// lapsed holds the engines that are kept, with what will remove them.
+	// lapsed holds the engines that are kept, with the timers that will remove them.
 	lapsed map[string]*time.Timer
 }
 
 func (a *engineApplier) Apply(record keyedlog.Record, _ bool) {
-	a.renewed(record.Key)
+	a.cancelRemoval(record.Key)
 	if record.Value == nil {
-		a.dropped(record)
+		a.recordDropped(record)
 		return
 	}
 	engine, err := a.decoder.Engine(record.Key, record.Value)
@@ -133,7 +134,7 @@
 	}
 	known, found := a.directory.Engine(engine.ID)
 	if !found || known.Draining != engine.Draining {
-		a.news.add(engine, record.Offset, a.logger)
+		a.changes.add(engine, record.Offset, a.logger)
 	}
 	if found && engine.Restarted(known) {
 		a.logger.Info("engine restarted", "engine", engine.ID, "pool", engine.Pool, "address", engine.Address, "offset", record.Offset)
@@ -142,24 +143,25 @@
 	a.list.PutOwnRecord(engine, record.Offset)
 }
 
-// dropped takes that an engine's record was dropped.
-func (a *engineApplier) dropped(record keyedlog.Record) {
+// recordDropped removes an engine whose record was dropped, after the rest of renewalWindow if the store has just
+// returned.
+func (a *engineApplier) recordDropped(record keyedlog.Record) {
 	if _, known := a.directory.Engine(record.Key); !known {
 		return
 	}
-	left := returnWindow - time.Since(a.returned())
-	if left <= 0 {
+	remaining := renewalWindow - time.Since(a.returned())
+	if remaining <= 0 {
 		a.remove(record)
 		return
 	}
-	a.logger.Info("engine lapsed", "engine", record.Key, "offset", record.Offset, "kept_for", left.Round(time.Millisecond))
+	a.logger.Info("engine lapsed", "engine", record.Key, "offset", record.Offset, "kept_for", remaining.Round(time.Millisecond))
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.lapsed == nil {
 		a.lapsed = make(map[string]*time.Timer)
 	}
 	var timer *time.Timer
-	timer = time.AfterFunc(left, func() {
+	timer = time.AfterFunc(remaining, func() {
 		a.mutex.Lock()
 		defer a.mutex.Unlock()
 		if a.lapsed[record.Key] == timer {
@@ -170,8 +172,8 @@
 	a.lapsed[record.Key] = timer
 }
 
-// renewed takes that a record of an engine was read: what was to become of the one before does not count any more.
-func (a *engineApplier) renewed(id string) {
+// cancelRemoval cancels the pending removal of an engine, because a newer record of it was read.
+func (a *engineApplier) cancelRemoval(id string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if timer, ok := a.lapsed[id]; ok {
@@ -186,15 +188,15 @@
 	a.list.RemoveOwnRecord(record.Key)
 }
 
-// Advanced takes that all records below an offset have been applied.
+// Advanced notes that all records below an offset have been applied.
 func (a *engineApplier) Advanced(end int64) {
-	a.news.write(a.logger)
+	a.changes.write(a.logger)
 	a.list.OwnRecordsReadTo(end)
 	a.directory.SetKnown()
 }
 
-// end forgets the engines that are kept for a while.
-func (a *engineApplier) end() {
+// stop cancels the pending removals of engines.
+func (a *engineApplier) stop() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for _, timer := range a.lapsed {
@@ -203,7 +205,7 @@
 	clear(a.lapsed)
 }
 
-// indexApplier takes the records of the index of jobs.
+// indexApplier applies the records of the index of jobs.
 type indexApplier struct {
 	index  *job.Index
 	logger *log.Logger
@@ -219,7 +221,7 @@
 	a.index.Advanced(end)
 }
 
-// weightApplier takes the announcements of orders.
+// weightApplier applies the announcements of orders.
 type weightApplier struct {
 	board  *weightroll.Board
 	logger *log.Logger
@@ -233,26 +235,27 @@
 
 func (a *weightApplier) Advanced(int64) {}
 
-// waits is how long the store may hold a read open, by topic. A cut that says nothing is noticed a little later than that, and
-// a replica must be in step again within seconds of its end.
-var waits = map[keyedlog.Topic]time.Duration{
+// readWaits is how long the store may hold a read open, by topic. A connection loss without an error is detected a
+// little later than that, and a replica must have caught up within seconds of its end.
+var readWaits = map[keyedlog.Topic]time.Duration{
 	keyedlog.TopicOperator: time.Second, keyedlog.TopicEngines: time.Second, keyedlog.TopicJobIndex: time.Second,
 	keyedlog.TopicWeights: 2 * time.Second, keyedlog.TopicCrashes: 2 * time.Second, keyedlog.TopicEngineList: time.Second,
 }
 
-// spacings is the least time between two reads that brought records. Every engine writes about once a second, and nobody needs
-// to know sooner than this that one leaves.
-var spacings = map[keyedlog.Topic]time.Duration{
+// readSpacings is the minimum time between two reads that returned records. Every engine writes about once a second,
+// and no component needs to know sooner than this that an engine leaves.
+var readSpacings = map[keyedlog.Topic]time.Duration{
 	keyedlog.TopicEngines: 200 * time.Millisecond, keyedlog.TopicEngineList: 200 * time.Millisecond,
 }
 
-// idleSpacing is the least time between two reads that brought records of jobs or orders at a process that owns no partition. It
-// has to be well under the second or so for which a load takes an engine away, so that a process that is dealt a partition starts
-// with engines nearly as they are, and makes at most four reads a second of two topics, where hundreds of processes share the
-// store's.
+// idleSpacing is the minimum time between two reads that returned records of jobs or orders in a process that owns no
+// partition. It has to be well under the 1 s or so for which a load makes an engine unavailable, so that a process that
+// is assigned a partition starts with nearly current data of the engines. It also limits the process to four reads/s of
+// two topics, because hundreds of processes share the read limit of the store.
 const idleSpacing = 500 * time.Millisecond
 
-// idleSpread is how long such a process puts its first read of them off at most. All processes together ask for some 100 KB each
-// when they start at once; three hundred take a store of 80 MB a second for a third of a second, during which no owner gets what it
-// takes over. It is short beside the time that callers give a service to come back.
+// idleSpread is the maximum time by which such a process delays its first read of them. All processes together read
+// some 100 KB each when they start at once; 300 of them occupy a store of 80 MB/s for a third of a second, during which
+// no owner can read what it takes over. The delay is short compared to the time that callers allow a service to come
+// back.
 const idleSpread = 2 * time.Second
--- a/internal/replica/records_test.go
+++ b/internal/replica/records_test.go
@@ -20,15 +20,16 @@
 	"github.com/matryer/is"
 )
 
-// engineDecoder takes any value for an engine of the pool "p"; it decodes nothing else.
+// engineDecoder decodes any value as an engine of the pool "p", and nothing else.
 type engineDecoder struct{ RecordDecoder }
 
 func (engineDecoder) Engine(id string, _ []byte) (fleet.Engine, error) {
 	return fleet.Engine{ID: id, Pool: "p"}, nil
 }
 
-// TestLapsedEntriesAreKeptUntilTheyCanBeRenewed drops the entries of three engines while the store does not answer a replica. One
-// is back within a second of the store's return, one after five, one is not; a fourth leaves while the store is up.
+// TestLapsedEntriesAreKeptUntilTheyCanBeRenewed drops the records of three engines while the store does not answer a
+// replica. One engine is back within a second of the return of the store, one after five, one never; a fourth leaves
+// while the store is up.
 func TestLapsedEntriesAreKeptUntilTheyCanBeRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -98,37 +99,38 @@
 	})
 }
 
-// TestManyEnginesAreCounted checks that a process which begins to read the records of thousands of engines writes no more lines than for some
-// hundreds, and that these still tell of all.
-func TestManyEnginesAreCounted(t *testing.T) {
+// TestLogCountsEnginesBeyondMaxLines checks that a process that begins to read the records of thousands of engines
+// writes no more log lines than for some hundreds, and that these still account for all engines.
+func TestLogCountsEnginesBeyondMaxLines(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
 	logger := logging.New(&output, "info", "text")
 	const count = 10000
-	var found news
+	var changes engineChanges
 	for i := range count {
-		found.add(fleet.Engine{ID: fmt.Sprint("engine", i), Pool: "drafter"}, int64(i), logger)
+		changes.add(fleet.Engine{ID: fmt.Sprint("engine", i), Pool: "drafter"}, int64(i), logger)
 	}
-	found.write(logger)
+	changes.write(logger)
 	lines := strings.Split(strings.TrimSpace(output.String()), "\n")
-	is.Equal(len(lines), newsLines+1)
+	is.Equal(len(lines), maxNamedLines+1)
 	named := 0
-	for _, line := range lines[:newsLines] {
-		is.True(len(line) < 2*newsBytes)
+	for _, line := range lines[:maxNamedLines] {
+		is.True(len(line) < 2*maxLineBytes)
 		named += strings.Count(line, "pool=")
 	}
-	is.True(strings.Contains(lines[newsLines], fmt.Sprintf("drafter:%d", count-named)))
-	is.True(strings.Contains(lines[newsLines], fmt.Sprint("last_offset=", count-1)))
+	is.True(strings.Contains(lines[maxNamedLines], fmt.Sprintf("drafter:%d", count-named)))
+	is.True(strings.Contains(lines[maxNamedLines], fmt.Sprint("last_offset=", count-1)))
 
 	// The next read names engines again.
 	output.Reset()
-	found.add(fleet.Engine{ID: "one"}, count, logger)
-	found.write(logger)
+	changes.add(fleet.Engine{ID: "one"}, count, logger)
+	changes.write(logger)
 	is.True(strings.Contains(output.String(), "one pool="))
 }
 
-// TestOneReadIsFewLines checks that what one read brings of many engines takes few lines of bounded size that name every engine.
-func TestOneReadIsFewLines(t *testing.T) {
+// TestLogOfOneReadHasFewLines checks that the engines of one read take few log lines of bounded length, which name
+// every engine.
+func TestLogOfOneReadHasFewLines(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
 	directory := fleet.NewDirectory()
@@ -145,12 +147,12 @@
 	lines := strings.Split(strings.TrimSpace(output.String()), "\n")
 	is.True(len(lines) < 10)
 	for _, line := range lines {
-		is.True(len(line) < 2*newsBytes)
+		is.True(len(line) < 2*maxLineBytes)
 	}
 	for i := range count {
 		is.True(strings.Contains(output.String(), fmt.Sprint("engine", i, " ")))
 	}
-	// What was known already is no news.
+	// An unchanged engine is not logged again.
 	output.Reset()
 	engines.Apply(keyedlog.Record{Key: "engine1", Value: []byte("x"), Offset: count}, false)
 	engines.Advanced(count + 1)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -35,25 +35,25 @@
 	Settings Settings
 	Log      keyedlog.Log
 	Client   engineapi.Client
-	// Prober looks whether engines have ended.
+	// Prober checks whether engines have ended.
 	Prober  quarantine.Prober
 	Decoder RecordDecoder
-	// Usage takes reports of usage, nil if there is nobody to report to.
+	// Usage receives reports of usage, nil if there is no receiver.
 	Usage usage.Receiver
-	// Engines takes orders of engines, nil if none can be ordered.
+	// Engines is the provider that engines are ordered from, nil if none can be ordered.
 	Engines scaler.Provider
-	// RecordBytes and CallBytes bound a record and an append of the store.
+	// RecordBytes and CallBytes limit a record and an append of the store.
 	RecordBytes int
 	CallBytes   int
 	Logger      *log.Logger
 }
 
-// Replica is one process of the platform's hillfork.
+// Replica is one process of hillfork on a platform.
 type Replica struct {
 	config    Config
 	catalog   *catalog.Holder
 	directory *fleet.Directory
-	// list is the list of engines as the store has it, keeper writes it.
+	// list is the list of engines as read from the store, keeper writes it.
 	list   *enginelist.List
 	keeper *enginelist.Keeper
 	index  *job.Index
@@ -64,23 +64,24 @@
 	queue         *jobrun.Queue
 	// quarantine withholds requests that crash engines.
 	quarantine *quarantine.Quarantine
-	// followers run for good; weights, by partition, run once a pool of models has its orders there.
+	// followers run for the lifetime of the process; weights, by partition, run while a pool of models has its orders
+	// there.
 	followers []*follow.Follower
 	weights   []*follow.Follower
 	managers  []*ownership.Manager
-	// holdings are the partitions held; duties is how many duties there are.
+	// holdings tracks the partitions held; duties is the number of duties.
 	holdings *holdings
 	duties   int
 	// viewPublisher and viewReader share views of engines with other owners.
 	viewPublisher *engineview.Publisher
 	viewReader    *engineview.Reader
-	// teller tells what tenants' requests this process has run, nil if that is not reported.
+	// teller publishes the usage of tenants' requests that this process has run, nil if it is not reported.
 	teller  *usage.Teller
 	metrics *metrics
 	ready   atomic.Bool
 }
 
-// New returns a replica; Run starts it.
+// New returns a replica. Run starts it.
 func New(config Config) *Replica {
 	config.Log = storepace.New(storetimeout.New(config.Log), config.Settings.StoreReadsPerS)
 	r := &Replica{
@@ -129,13 +130,13 @@
 	rollers := weightroll.NewHolder(weightroll.Config{
 		Log: config.Log, Followers: convert[weightroll.Follower](r.weights), Board: board, Catalog: r.catalog,
 		Directory: r.directory, Client: config.Client, Loads: r.stepLoads, JobsKnown: indexFollower.CaughtUp, Paces: r.directory.UsualPaces,
-		Node: holderName(config.Settings), Lease: config.Settings.OrderLease, OnRolled: r.metrics.rolled, Logger: config.Logger,
+		Node: memberName(config.Settings), Lease: config.Settings.OrderLease, OnRolled: r.metrics.rolled, Logger: config.Logger,
 	})
 	r.joinGroups(runners, rollers, reporting)
 	return r
 }
 
-// watchEjections has ejections of engines logged and counted.
+// watchEjections logs and counts ejections of engines.
 func (r *Replica) watchEjections() {
 	r.metrics.ejected(r.directory.Ejected)
 	r.directory.OnEjection(func(ejection fleet.Ejection) {
@@ -148,10 +149,11 @@
 	})
 }
 
-// quarantineCrashes has requests withheld that crash engines, and returns the follower of what all machines tell of that.
+// quarantineCrashes sets up the quarantine of requests that crash engines, and returns the follower of the crash
+// records of all machines.
 func (r *Replica) quarantineCrashes() *follow.Follower {
 	r.quarantine = quarantine.New(quarantine.Config{
-		Log: r.config.Log, Prober: r.config.Prober, Directory: r.directory, Machine: holderName(r.config.Settings),
+		Log: r.config.Log, Prober: r.config.Prober, Directory: r.directory, Machine: memberName(r.config.Settings),
 		Logger: r.config.Logger,
 	})
 	r.metrics.quarantine(r.quarantine.Contents)
@@ -162,17 +164,18 @@
 
 // shareViews creates the publisher and the reader of views of engines.
 func (r *Replica) shareViews() {
-	machine := holderName(r.config.Settings)
+	machine := memberName(r.config.Settings)
 	r.viewPublisher = engineview.NewPublisher(engineview.PublisherConfig{
 		Log: r.config.Log, Machine: machine, Source: r.directory, Held: r.queue.Held, Logger: r.config.Logger,
 	})
 	r.viewReader = engineview.NewReader(engineview.ReaderConfig{
-		Log: r.config.Log, Machine: machine, Directory: r.directory, Busy: r.acts, Logger: r.config.Logger,
+		Log: r.config.Log, Machine: machine, Directory: r.directory, Busy: r.actsOnEngines, Logger: r.config.Logger,
 	})
 	r.metrics.views(r.viewPublisher.Written, r.directory.PeerSummary)
 }
 
-// countUsage has the requests of tenants counted and told, if somebody takes reports of them, and returns the duty of reporting.
+// countUsage sets up the counting and publishing of tenants' usage if there is a receiver of reports, and returns the
+// duty of reporting.
 func (r *Replica) countUsage() ([]duty.Duty, ingress.Meter) {
 	if r.config.Usage == nil {
 		return nil, nil
@@ -181,7 +184,7 @@
 	windows := usage.Windows{Length: r.config.Settings.UsageWindow}
 	counter := usage.NewCounter(windows, clock)
 	r.teller = usage.NewTeller(usage.TellerConfig{
-		Log: r.config.Log, Counter: counter, Machine: holderName(r.config.Settings), Logger: r.config.Logger,
+		Log: r.config.Log, Counter: counter, Machine: memberName(r.config.Settings), Logger: r.config.Logger,
 	})
 	reporter := usage.NewReporter(usage.ReporterConfig{
 		Log: r.config.Log, Receiver: r.config.Usage, Windows: windows, Clock: clock, Late: r.config.Settings.UsageLate,
@@ -205,22 +208,22 @@
 	return follow.New(r.followConfig(partition, applier))
 }
 
-// followConfig returns how a partition is followed.
+// followConfig returns the configuration for following a partition.
 func (r *Replica) followConfig(partition keyedlog.Partition, applier follow.Applier) follow.Config {
 	return follow.Config{
-		Log: r.config.Log, Partition: partition, Applier: applier, Wait: waits[partition.Topic],
-		Spacing: spacings[partition.Topic], NewestOnly: partition.Topic == keyedlog.TopicOperator, Busy: r.busy(partition.Topic), IdleSpacing: idleSpacing, IdleSpread: idleSpread,
+		Log: r.config.Log, Partition: partition, Applier: applier, Wait: readWaits[partition.Topic],
+		Spacing: readSpacings[partition.Topic], NewestOnly: partition.Topic == keyedlog.TopicOperator, Busy: r.busy(partition.Topic), IdleSpacing: idleSpacing, IdleSpread: idleSpread,
 		Logger: r.config.Logger,
 	}
 }
 
-// busy returns what tells whether this process acts on each record of a topic at once, nil if it always does. Jobs and orders are the
-// business of the processes that own partitions; the others only have to know of them when they are asked.
+// busy returns a function that reports whether this process acts on each record of a topic at once, nil if it always
+// does. Only processes that own partitions act on jobs and orders; the others only need them to answer requests.
 func (r *Replica) busy(topic keyedlog.Topic) func() bool {
 	if topic != keyedlog.TopicWeights && topic != keyedlog.TopicJobIndex {
 		return nil
 	}
-	return r.acts
+	return r.actsOnEngines
 }
 
 func convert[T any, F any](followers []F) []T {
@@ -231,8 +234,8 @@
 	return converted
 }
 
-// Run follows the store and owns what the group deals, until the context ends. Then it hands over what it owns and goes on
-// following until stop is closed, so that requests under way are served.
+// Run follows the store and runs the work of the assigned partitions until the context ends. Then it hands over its
+// partitions and continues to follow the store until stop is closed, so that requests in progress are served.
 func (r *Replica) Run(ctx context.Context, stop <-chan struct{}) {
 	followCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -262,8 +265,8 @@
 	running.Wait()
 }
 
-// Ready tells whether callers may be sent here: the configuration and the engines are known, and no stop was ordered. A
-// replica that was ready stays so while the store is away.
+// Ready reports whether callers may be sent here: the configuration and the engines are known, and no stop was
+// requested. A replica that was ready stays ready while the store is down.
 func (r *Replica) Ready() bool {
 	if r.ingress.Stopping() {
 		return false
@@ -276,23 +279,23 @@
 	return r.ready.Load()
 }
 
-// Drain says that the replica is to stop, and when what is under way is cut off: it is not ready any more, answers end their connections, and
-// what can't be done in time is refused.
+// Drain starts the stop of the replica, with the time at which work in progress is cut off: the replica is not ready
+// any more, answers close their connections, and requests that can't be completed in time are refused.
 func (r *Replica) Drain(cut time.Time) {
 	r.ingress.Stop(cut)
 }
 
-// GracePeriod is how long the process has for a planned stop.
+// GracePeriod returns how long the process has for a planned stop.
 func (r *Replica) GracePeriod() time.Duration {
 	return r.config.Settings.GracePeriod
 }
 
-// Ingress meets requests of callers.
+// Ingress returns the component that serves callers' requests.
 func (r *Replica) Ingress() *ingress.Ingress {
 	return r.ingress
 }
 
-// Jobs answers calls on batch jobs.
+// Jobs returns the service that answers calls on batch jobs.
 func (r *Replica) Jobs() *jobs.Service {
 	return r.jobs
 }
--- a/internal/replica/steploads.go
+++ b/internal/replica/steploads.go
@@ -7,7 +7,7 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// models returns the models of all pools, in order.
+// models returns the models of all pools, sorted.
 func (r *Replica) models() []string {
 	current := r.catalog.Current()
 	if current == nil {
@@ -21,7 +21,7 @@
 	return slices.Compact(models)
 }
 
-// stepLoads tells what the steps of each model ask of engines, by those of which the index knows.
+// stepLoads returns the load that the steps of each model put on engines, based on the steps in the index.
 func (r *Replica) stepLoads() map[string]policy.StepLoad {
 	current := r.catalog.Current()
 	steps := make(map[string][]policy.Step)
