--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -313,8 +313,8 @@
 		work := duty.NewHolder(duty.Config{
 			Log: store.For("a"), Machine: "a", Lease: lease, Duties: []duty.Duty{a}, Logger: log.New(io.Discard),
 		}).Gained(t.Context(), partition, 1)
-		until := <-a.validUntil
-		is.Equal(until.Sub(a.began), fencing.SendWindow)
+		validUntil := <-a.validUntil
+		is.Equal(validUntil.Sub(a.began), fencing.SendWindow)
 		work.Release(t.Context())
 
 		slow := memorylog.New(memorylog.Config{Partitions: 1, Delay: 600 * time.Millisecond})
--- a/internal/enginelist/differences.go
+++ b/internal/enginelist/differences.go
@@ -177,10 +177,10 @@
 func (l *List) markFailed(records []keyedlog.Record) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	retry := time.Now().Add(retryDelay + rand.N(retryJitter))
+	retryAt := time.Now().Add(retryDelay + rand.N(retryJitter))
 	for _, record := range records {
 		if found := l.differences[idOf(record.Key)]; found != nil {
-			found.retryAt = retry
+			found.retryAt = retryAt
 		}
 	}
 }
--- a/internal/enginelist/enginelist_test.go
+++ b/internal/enginelist/enginelist_test.go
@@ -24,7 +24,7 @@
 
 var partition = enginelist.PartitionOf(pool, 1)
 
-// process is a process that reads the list, and keeps it up to date if it reads the engines' own records.
+// process is a process that reads the list, and keeps it up to date while it reads the engines' own records.
 type process struct {
 	list      *enginelist.List
 	keeper    *enginelist.Keeper
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -124,7 +124,7 @@
 	defer ticker.Stop()
 	for {
 		if m.join(ctx) {
-			// Released partitions are reassigned with the next join.
+			// Released partitions are reassigned in the next join.
 			m.join(ctx)
 		}
 		select {
--- a/internal/ownership/watch.go
+++ b/internal/ownership/watch.go
@@ -10,8 +10,8 @@
 
 const (
 	// leaveIdleAfter and leaveHoldingAfter are how long larger members must have had capacity for all partitions before
-	// a member leaves that holds none or some. Runs move when partitions do, which machines that come and go must not
-	// cause.
+	// a member that holds none or some partitions leaves. Moving a partition also moves its runs, so machines that come
+	// and go must not cause it.
 	leaveIdleAfter    = time.Second
 	leaveHoldingAfter = 3 * time.Second
 	// leaveJitter spreads the times at which several members leave, so that none hands its partitions to another one
