--- a/internal/replica/groups.go
+++ b/internal/replica/groups.go
@@ -20,7 +20,7 @@
 // joinGroups sets up the groups that assign the partitions of jobs, weights and duties to the replicas.
 func (r *Replica) joinGroups(runners, rollers ownership.Holder, reporting []duty.Duty) {
 	settings := r.config.Settings
-	lifetime := memberLifetime(settings.MemberLifetimeMin)
+	lifetime := memberLifetime(settings.MinMemberLifetime)
 	weightsLifetime := max(lifetime, weightsShare*settings.OrderLease/weightsParts)
 	r.joinGroup(jobsGroup, lifetime, settings.ProcessorShare, topicHolders{keyedlog.TopicJobs: runners})
 	r.metrics.member(r.managers[0].Participates)
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -30,16 +30,16 @@
 	OrderLease time.Duration
 	// Retention is how long results can be read after their job was submitted.
 	Retention time.Duration
-	// DrainBound is how long a back end may still receive work after it is known to leave.
-	DrainBound time.Duration
-	// MemberLifetimeMin is the minimum lifetime that the store's groups accept.
-	MemberLifetimeMin time.Duration
+	// DrainLimit is how long a back end may still receive work after it is known to leave.
+	DrainLimit time.Duration
+	// MinMemberLifetime is the minimum lifetime that the store's groups accept.
+	MinMemberLifetime time.Duration
 	// StoreReadsPerS is the number of reads per second that the store accepts from all replicas together.
 	StoreReadsPerS float64
 	// KeyBound is how long a caller's key may remain valid after its revocation, 0 for as long as the store can't be
 	// reached.
 	KeyBound time.Duration
-	// UsageWindow is the length of a usage window, UsageLate how long after its end it has to be reported.
-	UsageWindow time.Duration
-	UsageLate   time.Duration
+	// UsageWindow is the length of a usage window, UsageReportLimit how long after its end it has to be reported.
+	UsageWindow      time.Duration
+	UsageReportLimit time.Duration
 }
