--- a/internal/job/fold.go
+++ b/internal/job/fold.go
@@ -256,7 +256,7 @@
 	if text == nil {
 		return nil
 	}
-	if known, ok := found.progress[progress.ItemID]; ok && !text.Further(known) {
+	if known, ok := found.progress[progress.ItemID]; ok && !text.FurtherThan(known) {
 		return nil
 	}
 	found.progress[progress.ItemID] = text
@@ -264,8 +264,8 @@
 	return nil
 }
 
-// Further tells whether progress is worth more than what is known.
-func (p *Progress) Further(known *Progress) bool {
+// FurtherThan tells whether progress is worth more than what is known.
+func (p *Progress) FurtherThan(known *Progress) bool {
 	if p.Whole != known.Whole {
 		return p.Whole
 	}
--- a/internal/job/index.go
+++ b/internal/job/index.go
@@ -32,8 +32,8 @@
 	// Settled says that nothing more is listed; all results lie below SettledEnd in the job's partition.
 	Settled    bool
 	SettledEnd int64
-	// Took is what the job took of engines, known at the earliest once it is settled.
-	Took Took
+	// SlotTime is what the job took of engines, known at the earliest once it is settled.
+	SlotTime SlotTime
 }
 
 // indexed is one job of the index.
@@ -99,7 +99,7 @@
 		}
 		found := x.job(id, record.Key)
 		found.status.Settled, found.status.SettledEnd = true, settled.End
-		found.status.Took = Took{
+		found.status.SlotTime = SlotTime{
 			Items: time.Duration(settled.ItemTime) * time.Millisecond, Longest: time.Duration(settled.LongestTime) * time.Millisecond,
 		}
 		return nil
@@ -204,9 +204,9 @@
 	return unsettled
 }
 
-// Start returns the offset from which an owner has to read a partition that ends at end: that of the earliest job of which
+// StartOffset returns the offset from which an owner has to read a partition that ends at end: that of the earliest job of which
 // more may be listed, and of the newest one before, whose text may be used again.
-func (x *Index) Start(partition int, end int64) int64 {
+func (x *Index) StartOffset(partition int, end int64) int64 {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	start, newest := end, int64(-1)
@@ -226,8 +226,8 @@
 	return start
 }
 
-// Trained returns the jobs of each model that is trained, in order of their acceptance.
-func (x *Index) Trained() map[string][]Status {
+// JobsByModel returns the jobs of each model that is trained, in order of their acceptance.
+func (x *Index) JobsByModel() map[string][]Status {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	trained := make(map[string][]Status)
@@ -300,7 +300,7 @@
 }
 
 // EncodeSettled returns the record of the index that says that nothing more is listed of a job, and what it took.
-func EncodeSettled(jobID string, end int64, took Took) (keyedlog.Record, error) {
+func EncodeSettled(jobID string, end int64, took SlotTime) (keyedlog.Record, error) {
 	settled := Settled{End: end, ItemTime: took.Items.Milliseconds(), LongestTime: took.Longest.Milliseconds()}
 	value, err := settled.MarshalMsg(nil)
 	return keyedlog.Record{Key: indexSettled + separator + jobID, Value: value}, err
--- a/internal/job/keys.go
+++ b/internal/job/keys.go
@@ -147,8 +147,8 @@
 	return value, err
 }
 
-// EncodeLast returns the record of a job's partition after which its owner lists nothing more of it.
-func EncodeLast(jobID string) keyedlog.Record {
+// EncodeSettledMarker returns the record of a job's partition after which its owner lists nothing more of it.
+func EncodeSettledMarker(jobID string) keyedlog.Record {
 	return keyedlog.Record{Key: settledKey(jobID), Value: []byte{1}}
 }
 
@@ -216,8 +216,8 @@
 	return append(records, keyedlog.Record{Key: key, Value: append(last, value...)})
 }
 
-// Calls splits records into as many calls as they need, of which none is over a limit in bytes unless one record is.
-func Calls(records []keyedlog.Record, limit int) [][]keyedlog.Record {
+// SplitAppends splits records into as many calls as they need, of which none is over a limit in bytes unless one record is.
+func SplitAppends(records []keyedlog.Record, limit int) [][]keyedlog.Record {
 	var calls [][]keyedlog.Record
 	for len(records) > 0 {
 		count := 1
--- a/internal/job/ledger.go
+++ b/internal/job/ledger.go
@@ -54,9 +54,9 @@
 	Spec *Spec
 	// Listed counts the results that can be read.
 	Listed int
-	// Progressed counts the progress of items taken so far.
-	Progressed int
-	Ended      bool
+	// ProgressCount counts the progress of items taken so far.
+	ProgressCount int
+	Ended         bool
 	// AcceptedAt is when the job was accepted; Estimated says that it rests on the time of day of another process.
 	AcceptedAt time.Time
 	Estimated  bool
@@ -83,7 +83,7 @@
 
 func (s *state) view(status Status) View {
 	return View{
-		Spec: s.spec, Listed: s.visible, Progressed: s.progressed, Ended: status.Ended, AcceptedAt: status.AcceptedAt,
+		Spec: s.spec, Listed: s.visible, ProgressCount: s.progressed, Ended: status.Ended, AcceptedAt: status.AcceptedAt,
 		Estimated: status.Estimated,
 	}
 }
@@ -170,8 +170,8 @@
 // OpenItem is an item that is not listed yet.
 type OpenItem struct {
 	Item Item
-	// Place is the item's place in the submission.
-	Place    int
+	// Index is the item's place in the submission.
+	Index    int
 	Progress *Progress
 }
 
@@ -187,7 +187,7 @@
 	var open []OpenItem
 	for place, item := range found.spec.Items {
 		if _, listed := found.listed[item.ID]; !listed {
-			open = append(open, OpenItem{Item: item, Place: place, Progress: found.progress[item.ID]})
+			open = append(open, OpenItem{Item: item, Index: place, Progress: found.progress[item.ID]})
 		}
 	}
 	return open
@@ -222,8 +222,8 @@
 	return slices.Sorted(maps.Keys(found.pieceKeys))
 }
 
-// Seen tells whether an item was in another job.
-func (l *Ledger) Seen(jobID, itemID string) bool {
+// InOtherJob tells whether an item was in another job.
+func (l *Ledger) InOtherJob(jobID, itemID string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for id, found := range l.fold.jobs {
@@ -234,8 +234,8 @@
 	return false
 }
 
-// Text returns the whole text of an item that was listed in another job, as progress without a score, nil if there is none.
-func (l *Ledger) Text(jobID, itemID string) *Progress {
+// OtherJobText returns the whole text of an item that was listed in another job, as progress without a score, nil if there is none.
+func (l *Ledger) OtherJobText(jobID, itemID string) *Progress {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for id, found := range l.fold.jobs {
--- a/internal/job/records.go
+++ b/internal/job/records.go
@@ -92,8 +92,8 @@
 	LongestTime int64 `msg:"longest"`
 }
 
-// Took is what a job took of engines. The zero value says that nobody knows: no owner ran it from its beginning to its end.
-type Took struct {
+// SlotTime is what a job took of engines. The zero value says that nobody knows: no owner ran it from its beginning to its end.
+type SlotTime struct {
 	// Items is how long its items held places, all taken together.
 	Items time.Duration
 	// Longest is how long the longest item held one, of the groups that became whole.
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -169,9 +169,9 @@
 	})
 }
 
-// Permit tells whether a tenant may ask for a job. One of another tenant does not exist for it. The tenant is empty where callers have
+// Authorize tells whether a tenant may ask for a job. One of another tenant does not exist for it. The tenant is empty where callers have
 // none, and may ask for any.
-func (s *Service) Permit(ctx context.Context, id, tenant string) Outcome {
+func (s *Service) Authorize(ctx context.Context, id, tenant string) Outcome {
 	status, outcome := s.lookUp(ctx, id)
 	if outcome != Done {
 		return outcome
@@ -183,9 +183,9 @@
 	return Done
 }
 
-// Public tells whether a job was submitted without a key, as on a public route: anyone may ask for it. It is false for a job that is not
+// IsPublic tells whether a job was submitted without a key, as on a public route: anyone may ask for it. It is false for a job that is not
 // known here.
-func (s *Service) Public(id string) bool {
+func (s *Service) IsPublic(id string) bool {
 	status, known := s.config.Index.Job(id)
 	return known && status.Entry.Tenant == ""
 }
@@ -243,7 +243,7 @@
 	ctx context.Context, partition keyedlog.Partition, records []keyedlog.Record,
 ) (offset, next int64, err error) {
 	offset = -1
-	for _, call := range job.Calls(records, s.config.CallBytes) {
+	for _, call := range job.SplitAppends(records, s.config.CallBytes) {
 		appended, err := s.config.Log.Append(ctx, partition, call, nil)
 		if err != nil {
 			return 0, 0, err
--- a/internal/quarantine/admit.go
+++ b/internal/quarantine/admit.go
@@ -128,8 +128,8 @@
 	return ok && known.take()
 }
 
-// NotRun takes that a call that was admitted has reached no engine that ran it: if it was a trial, that was not made.
-func (q *Quarantine) NotRun(call engineapi.Call) {
+// ReportNotRun takes that a call that was admitted has reached no engine that ran it: if it was a trial, that was not made.
+func (q *Quarantine) ReportNotRun(call engineapi.Call) {
 	if q == nil || q.Contents() == 0 {
 		return
 	}
--- a/internal/quarantine/forget.go
+++ b/internal/quarantine/forget.go
@@ -16,8 +16,8 @@
 	forgetMost = 64
 )
 
-// Answered takes that an engine ran a call to its end: its content crashes no engines.
-func (q *Quarantine) Answered(call engineapi.Call) {
+// ReportAnswered takes that an engine ran a call to its end: its content crashes no engines.
+func (q *Quarantine) ReportAnswered(call engineapi.Call) {
 	if q == nil || q.quiet() {
 		return
 	}
--- a/internal/quarantine/look.go
+++ b/internal/quarantine/look.go
@@ -23,10 +23,10 @@
 	Ended(ctx context.Context, engine fleet.Engine) bool
 }
 
-// Broke takes that a call was sent to an engine and the engine's answer broke off or never came, for the given cause, and looks whether
+// ReportBroken takes that a call was sent to an engine and the engine's answer broke off or never came, for the given cause, and looks whether
 // the engine has ended. It returns how the call stands with that many strikes. A first break is looked at while the call goes on: the
 // look takes 150 ms where the engine's machine is cut off, as long as callers wait for a whole answer.
-func (q *Quarantine) Broke(ctx context.Context, call engineapi.Call, engine fleet.Engine, cause error, strikes int) Standing {
+func (q *Quarantine) ReportBroken(ctx context.Context, call engineapi.Call, engine fleet.Engine, cause error, strikes int) Standing {
 	if q == nil {
 		return Clear
 	}
--- a/internal/quarantine/silence.go
+++ b/internal/quarantine/silence.go
@@ -30,9 +30,9 @@
 	others map[string]bool
 }
 
-// Silent takes that a call was given up while the engine it was sent to had said nothing for a time. Whether the engine has ended shows
+// ReportSilent takes that a call was given up while the engine it was sent to had said nothing for a time. Whether the engine has ended shows
 // when another one takes its place.
-func (q *Quarantine) Silent(call engineapi.Call, engine fleet.Engine, lasted time.Duration) {
+func (q *Quarantine) ReportSilent(call engineapi.Call, engine fleet.Engine, lasted time.Duration) {
 	if q == nil || lasted < silenceLeast {
 		return
 	}
--- a/internal/reorder/reorder.go
+++ b/internal/reorder/reorder.go
@@ -5,8 +5,8 @@
 // MaxHeld bounds the pieces held for one that is missing before them; more are dropped.
 const MaxHeld = 256
 
-// Shape tells how to read a piece of type P.
-type Shape[P any] struct {
+// Accessors tells how to read a piece of type P.
+type Accessors[P any] struct {
 	// Index is the position of the first token in the answer, Length the number of tokens.
 	Index  func(piece P) int
 	Length func(piece P) int
@@ -26,14 +26,14 @@
 
 // Buffer puts the pieces of one answer in order. It is not safe for concurrent use.
 type Buffer[P any] struct {
-	shape Shape[P]
+	shape Accessors[P]
 	next  int
 	held  map[int]P
 	drops Drops
 }
 
 // NewBuffer expects the piece at index next first.
-func NewBuffer[P any](shape Shape[P], next int) *Buffer[P] {
+func NewBuffer[P any](shape Accessors[P], next int) *Buffer[P] {
 	return &Buffer[P]{shape: shape, next: next, held: make(map[int]P)}
 }
 
--- a/internal/unread/write.go
+++ b/internal/unread/write.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// CutAfter is how long a reader may take nothing. A reader that lost a packet or its processor goes on within 3 s. One that does not
+	// WriteTimeout is how long a reader may take nothing. A reader that lost a packet or its processor goes on within 3 s. One that does not
 	// holds up the engine from which its answer streams, and engines cut such streams off after some seconds.
-	CutAfter = 5 * time.Second
+	WriteTimeout = 5 * time.Second
 	// chunkBytes is how many bytes a reader has to take within CutAfter, which is 13 KB/s: callers' links carry megabytes a second.
 	chunkBytes = 64 << 10
 )
@@ -37,7 +37,7 @@
 // WithDeadline calls write, whose bytes the reader has to take within CutAfter. The error is os.ErrDeadlineExceeded if the reader was cut
 // off.
 func (b *Budget) WithDeadline(controller *http.ResponseController, write func() error) error {
-	if err := deadline(controller, time.Now().Add(CutAfter)); err != nil {
+	if err := deadline(controller, time.Now().Add(WriteTimeout)); err != nil {
 		return err
 	}
 	err := write()
@@ -46,7 +46,7 @@
 		b.cut++
 		held := b.held
 		b.mutex.Unlock()
-		b.logger.Info("reader cut off, it took nothing", "after", CutAfter, "held", held)
+		b.logger.Info("reader cut off, it took nothing", "after", WriteTimeout, "held", held)
 		return err
 	}
 	if err == nil {
