--- a/internal/job/compress.go
+++ b/internal/job/compress.go
@@ -8,22 +8,22 @@
 	"sync"
 )
 
-// largestValue bounds what a compressed value may grow to, in bytes.
-const largestValue = 8 << 20
+// maxValueBytes limits the size of a value before compression and after decompression, in bytes.
+const maxValueBytes = 8 << 20
 
 var errTooLarge = errors.New("compressed value is too large")
 
-// deflaters keeps compressors for use again: each takes some hundred kilobytes.
+// deflaters pools compressors, each of which takes several hundred kilobytes.
 var deflaters = sync.Pool{New: func() any {
-	// The level is valid, so that there is no error.
+	// The level is valid, so there is no error.
 	deflater, _ := flate.NewWriter(io.Discard, flate.HuffmanOnly)
 	return deflater
 }}
 
-// compress returns a value by its letters' frequency alone (RFC 1951), which costs little processor time. Results are most of
-// what the store's link carries.
+// compress encodes a value as DEFLATE (RFC 1951) with Huffman coding only, which needs little CPU time. Results make up most
+// of the traffic on the link to the store.
 func compress(value []byte) ([]byte, error) {
-	if len(value) > largestValue {
+	if len(value) > maxValueBytes {
 		return nil, errTooLarge
 	}
 	deflater := deflaters.Get().(*flate.Writer)
@@ -38,11 +38,11 @@
 	return compressed.Bytes(), err
 }
 
-// decompress undoes compress. It fails on garbage and on what would grow beyond largestValue.
+// decompress reverses compress. It fails on invalid input and on input that decompresses to more than maxValueBytes.
 func decompress(compressed []byte) ([]byte, error) {
 	inflater := flate.NewReader(bytes.NewReader(compressed))
-	value, err := io.ReadAll(io.LimitReader(inflater, largestValue+1))
-	if err == nil && len(value) > largestValue {
+	value, err := io.ReadAll(io.LimitReader(inflater, maxValueBytes+1))
+	if err == nil && len(value) > maxValueBytes {
 		err = errTooLarge
 	}
 	return value, err
--- a/internal/job/compress_test.go
+++ b/internal/job/compress_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestCompressedValuesComeBack(t *testing.T) {
+func TestCompressRoundTrip(t *testing.T) {
 	is := is.New(t)
 	letters := make([]byte, 20<<10)
 	random := rand.New(rand.NewSource(1))
@@ -28,18 +28,18 @@
 	is.True(len(compressed) < len(letters)*7/10)
 }
 
-func TestGarbageDoesNotDecompress(t *testing.T) {
+func TestDecompressRejectsInvalidInput(t *testing.T) {
 	is := is.New(t)
 	for _, garbage := range [][]byte{nil, {0xff}, []byte("garbage")} {
 		_, err := decompress(garbage)
 		is.True(err != nil)
 	}
-	_, err := compress(make([]byte, largestValue+1))
+	_, err := compress(make([]byte, maxValueBytes+1))
 	is.Equal(err, errTooLarge)
 	var bomb bytes.Buffer
 	deflater, err := flate.NewWriter(&bomb, flate.BestSpeed)
 	is.NoErr(err)
-	_, err = deflater.Write(make([]byte, largestValue+1))
+	_, err = deflater.Write(make([]byte, maxValueBytes+1))
 	is.NoErr(err)
 	is.NoErr(deflater.Close())
 	_, err = decompress(bomb.Bytes())
--- a/internal/job/fold.go
+++ b/internal/job/fold.go
@@ -8,39 +8,41 @@
 	"github.com/hillfork/hillfork/internal/keyedlog"
 )
 
-// state is one job as far as its records have been read.
-type state struct {
-	// spec is the submission once it is whole. Until then header is it without items, and items holds those read by place.
+// jobState is the state of one job as far as its records have been read.
+type jobState struct {
+	// spec is the submission once all its records have been read. Until then, header is the submission without items, and
+	// items holds the items read so far by their index.
 	spec   *Spec
 	header *Spec
 	items  map[int]Item
-	// index maps items to their place in the spec.
+	// index maps item ids to the index of the item in the spec.
 	index map[string]int
-	// results holds the listed results by position, from base on; listed maps items to positions. visible is the first position from base on
-	// without a result.
+	// results holds the listed results by position, from base on; listed maps item ids to positions. visible is the first
+	// position from base on without a result.
 	results  map[int]*Result
 	listed   map[string]int
 	base     int
 	visible  int
 	progress map[string]*Progress
-	// lines holds the texts of items that are not listed, by item; pieceKeys the keys of all their later pieces.
+	// lines holds the texts of items that are not listed, by item id. pieceKeys holds the keys of all pieces after the first
+	// one.
 	lines     map[string]lines
 	pieceKeys map[string]bool
-	// progressed counts the progress taken.
-	progressed int
-	changed    broadcast.Signal
+	// progressCount counts the progress records that extended an item's progress.
+	progressCount int
+	changed       broadcast.Signal
 }
 
-// fold holds the jobs of one partition.
+// fold accumulates the records of one partition into its jobs.
 type fold struct {
-	jobs  map[string]*state
+	jobs  map[string]*jobState
 	parts map[string]map[int][]byte
-	// skipped counts records that were not in the form of one.
+	// skipped counts invalid records.
 	skipped int
 }
 
 func newFold() *fold {
-	return &fold{jobs: make(map[string]*state), parts: make(map[string]map[int][]byte)}
+	return &fold{jobs: make(map[string]*jobState), parts: make(map[string]map[int][]byte)}
 }
 
 // apply folds one record.
@@ -77,34 +79,34 @@
 }
 
 func (f *fold) keepPart(key parsedKey, value []byte) {
-	parts, ok := f.parts[key.whole]
+	parts, ok := f.parts[key.baseKey]
 	if !ok {
 		parts = make(map[int][]byte)
-		f.parts[key.whole] = parts
+		f.parts[key.baseKey] = parts
 	}
 	parts[key.part] = value
 	if completing, ok := parts[completingPart]; ok {
-		// Read after the fact, the completing record comes before its parts.
-		_ = f.apply(keyedlog.Record{Key: key.whole, Value: completing})
+		// When the newest records are read by key, the completing record comes before its parts.
+		_ = f.apply(keyedlog.Record{Key: key.baseKey, Value: completing})
 	}
 }
 
-// completingPart is where a completing record waits for parts.
+// completingPart is the key under which a completing record is stored until all its parts have been read.
 const completingPart = -1
 
-// join puts a value together. It is not whole while parts are missing.
+// join reassembles a value from its parts. It returns false while parts are missing.
 func (f *fold) join(key parsedKey, completing []byte) ([]byte, bool, error) {
 	if key.kind == keySettled {
 		return completing, true, nil
 	}
-	count, rest, err := splitHead(completing)
+	count, rest, err := decodePartCount(completing)
 	if err != nil || count == 0 {
 		return rest, err == nil, err
 	}
-	parts, ok := f.parts[key.whole]
+	parts, ok := f.parts[key.baseKey]
 	if !ok {
 		parts = make(map[int][]byte)
-		f.parts[key.whole] = parts
+		f.parts[key.baseKey] = parts
 	}
 	var value []byte
 	for i := range count {
@@ -115,7 +117,7 @@
 		}
 		value = append(value, part...)
 	}
-	delete(f.parts, key.whole)
+	delete(f.parts, key.baseKey)
 	return append(value, rest...), true, nil
 }
 
@@ -126,7 +128,7 @@
 	case keyItem:
 		return f.applyItem(key, value)
 	case keySettled:
-		// It marks a place in the partition and changes nothing.
+		// The record marks an offset in the partition and changes nothing.
 		return nil
 	case keyResult:
 		return f.applyResult(key, value)
@@ -135,10 +137,10 @@
 	}
 }
 
-func (f *fold) job(id string) *state {
+func (f *fold) job(id string) *jobState {
 	found, ok := f.jobs[id]
 	if !ok {
-		found = &state{
+		found = &jobState{
 			items: make(map[int]Item), results: make(map[int]*Result), listed: make(map[string]int), progress: make(map[string]*Progress),
 			lines: make(map[string]lines), pieceKeys: make(map[string]bool), changed: broadcast.New(),
 		}
@@ -162,37 +164,37 @@
 }
 
 func (f *fold) applyItem(key parsedKey, value []byte) error {
-	place, err := strconv.Atoi(key.rest)
-	if err != nil || place < 0 {
+	index, err := strconv.Atoi(key.rest)
+	if err != nil || index < 0 {
 		return errKey
 	}
 	found := f.job(key.jobID)
-	if _, known := found.items[place]; known || found.spec != nil {
+	if _, known := found.items[index]; known || found.spec != nil {
 		return nil
 	}
 	var item Item
 	if _, err := item.UnmarshalMsg(value); err != nil {
 		return err
 	}
-	found.items[place] = item
+	found.items[index] = item
 	found.assemble()
 	return nil
 }
 
-// assemble makes the submission whole once all its items were read.
-func (s *state) assemble() {
+// assemble completes the submission once all its items have been read.
+func (s *jobState) assemble() {
 	if s.header == nil || len(s.items) < len(s.header.ItemIDs) {
 		return
 	}
 	spec := *s.header
 	spec.Items = make([]Item, 0, len(spec.ItemIDs))
 	s.index = make(map[string]int, len(spec.ItemIDs))
-	for place, id := range spec.ItemIDs {
-		item, ok := s.items[place]
+	for itemIndex, id := range spec.ItemIDs {
+		item, ok := s.items[itemIndex]
 		if !ok || item.ID != id {
 			return
 		}
-		s.index[id] = place
+		s.index[id] = itemIndex
 		spec.Items = append(spec.Items, item)
 	}
 	s.spec = &spec
@@ -200,7 +202,7 @@
 	s.changed.Notify()
 }
 
-// applyResult lists a result. A position is never filled twice, and an item is never listed twice.
+// applyResult lists a result. A position is never overwritten, and an item is never listed twice.
 func (f *fold) applyResult(key parsedKey, value []byte) error {
 	position, err := strconv.Atoi(key.rest)
 	if err != nil || position < 0 {
@@ -242,7 +244,7 @@
 	}
 	found := f.job(key.jobID)
 	if progress.From > 0 {
-		found.pieceKeys[key.whole] = true
+		found.pieceKeys[key.baseKey] = true
 	}
 	if _, listed := found.listed[progress.ItemID]; listed {
 		return nil
@@ -260,11 +262,12 @@
 		return nil
 	}
 	found.progress[progress.ItemID] = text
-	found.progressed++
+	found.progressCount++
 	return nil
 }
 
-// Further tells whether progress is worth more than what is known.
+// Further reports whether the progress is further advanced than known: the whole text wins over a part, then more events,
+// then a score.
 func (p *Progress) Further(known *Progress) bool {
 	if p.Whole != known.Whole {
 		return p.Whole
@@ -272,7 +275,7 @@
 	return len(p.Events) > len(known.Events) || p.Score != "" && known.Score == ""
 }
 
-// drop forgets what a dropped key held. A job is forgotten with its submission.
+// drop removes the state of a dropped key. Dropping the submission removes the job.
 func (f *fold) drop(key parsedKey) {
 	if key.part >= 0 {
 		return
@@ -284,6 +287,6 @@
 		found.changed.Notify()
 		delete(f.jobs, key.jobID)
 	case key.kind == keyProgress:
-		delete(found.pieceKeys, key.whole)
+		delete(found.pieceKeys, key.baseKey)
 	}
 }
--- a/internal/job/index.go
+++ b/internal/job/index.go
@@ -13,57 +13,59 @@
 	"github.com/hillfork/hillfork/internal/keyedlog"
 )
 
-// Prefixes of the index's keys. The second part of a key is the job's id; an entry's third part is alone to the try that
-// wrote it, so that every entry of a job is kept and all processes agree on the first.
+// Prefixes of the keys of the index. The second part of a key is the job's id. The third part of an entry's key is unique to
+// the attempt that wrote the entry, so that every entry of a job is kept and all processes agree on the first one.
 const (
 	indexEntry   = "s"
 	indexEnd     = "e"
 	indexSettled = "x"
 )
 
-// Status is what the index says of a job.
+// Status is the state of a job according to the index.
 type Status struct {
 	Entry Entry
-	// AcceptedAt is when the job was accepted, by this process's steady clock; Estimated says that it was worked out from the
-	// time of day of another process.
+	// AcceptedAt is when the job was accepted, by this process's monotonic clock. Estimated reports that it was computed
+	// from the wall-clock time of another process.
 	AcceptedAt time.Time
 	Estimated  bool
 	Ended      bool
-	// Settled says that nothing more is listed; all results lie below SettledEnd in the job's partition.
+	// Settled reports that no more results of the job are listed; all of them lie below SettledEnd in the job's partition.
 	Settled    bool
 	SettledEnd int64
-	// Took is what the job took of engines, known at the earliest once it is settled.
+	// Took is the time that the job's items held engine slots. It is known at the earliest once the job is settled.
 	Took Took
 }
 
-// indexed is one job of the index.
-type indexed struct {
+// indexedJob is one job of the index.
+type indexedJob struct {
 	status Status
-	// known says that an entry was read; first is the offset of the earliest one.
-	known bool
-	first int64
-	// keys are those of the job's records in the index.
+	// hasEntry reports that an entry was read; firstOffset is the offset of the earliest entry.
+	hasEntry    bool
+	firstOffset int64
+	// keys are the keys of the job's records in the index.
 	keys []string
 }
 
-// Index is the fold of the index of jobs. It holds no items. It is safe for concurrent use and takes no other lock.
+// Index is the fold of the records of the job index. It does not contain items. It is safe for concurrent use and acquires
+// no other lock while it holds its own.
 type Index struct {
-	mutex   sync.Mutex
-	jobs    map[string]*indexed
-	inStep  bool
-	skipped int
-	changed broadcast.Signal
-	now     func() time.Time
+	mutex    sync.Mutex
+	jobs     map[string]*indexedJob
+	caughtUp bool
+	skipped  int
+	changed  broadcast.Signal
+	now      func() time.Time
 }
 
 // NewIndex returns an empty index.
 func NewIndex() *Index {
-	return &Index{jobs: make(map[string]*indexed), changed: broadcast.New(), now: time.Now}
+	return &Index{jobs: make(map[string]*indexedJob), changed: broadcast.New(), now: time.Now}
 }
 
-var errIndexKey = errors.New("key of no record of the index of jobs")
+var errIndexKey = errors.New("key is not that of a job index record")
 
-// Apply folds a record. recovered says that it was read after the fact. An error says that the record was skipped.
+// Apply folds a record. recovered reports that the record was read as the newest of its key instead of in the order of the
+// log. An error means that the record was skipped.
 func (x *Index) Apply(record keyedlog.Record, recovered bool) error {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
@@ -88,7 +90,7 @@
 	}
 	switch kind {
 	case indexEntry:
-		return x.enter(id, record, recovered)
+		return x.applyEntry(id, record, recovered)
 	case indexEnd:
 		x.job(id, record.Key).status.Ended = true
 		return nil
@@ -108,11 +110,11 @@
 	}
 }
 
-// job returns a job and notes a key of it.
-func (x *Index) job(id, key string) *indexed {
+// job returns the job with an id, creating it if necessary, and adds a key to its keys.
+func (x *Index) job(id, key string) *indexedJob {
 	found, ok := x.jobs[id]
 	if !ok {
-		found = new(indexed)
+		found = new(indexedJob)
 		x.jobs[id] = found
 	}
 	if !slices.Contains(found.keys, key) {
@@ -121,8 +123,9 @@
 	return found
 }
 
-// enter takes an entry, unless one that lies before it is known: of a job handed in twice the first counts.
-func (x *Index) enter(id string, record keyedlog.Record, recovered bool) error {
+// applyEntry applies an entry unless one at a lower offset is known: of a job that was submitted twice, the first entry
+// counts.
+func (x *Index) applyEntry(id string, record keyedlog.Record, recovered bool) error {
 	var entry Entry
 	if _, err := entry.UnmarshalMsg(record.Value); err != nil {
 		return err
@@ -131,10 +134,10 @@
 		return errIndexKey
 	}
 	found := x.job(id, record.Key)
-	if found.known && found.first <= record.Offset {
+	if found.hasEntry && found.firstOffset <= record.Offset {
 		return nil
 	}
-	found.known, found.first = true, record.Offset
+	found.hasEntry, found.firstOffset = true, record.Offset
 	found.status.Entry = entry
 	now := x.now()
 	found.status.AcceptedAt, found.status.Estimated = now, recovered
@@ -156,56 +159,57 @@
 	}
 }
 
-// Advanced says that all records below an offset have been applied; the index answers from then on.
+// Advanced reports to the index that all records below an offset have been applied. The index returns no jobs before the
+// first call.
 func (x *Index) Advanced(int64) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if !x.inStep {
-		x.inStep = true
+	if !x.caughtUp {
+		x.caughtUp = true
 		x.changed.Notify()
 	}
 }
 
-// Changed returns a channel that is closed at the next record.
+// Changed returns a channel that is closed when the next record is applied.
 func (x *Index) Changed() <-chan struct{} {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	return x.changed.Changed()
 }
 
-// Skipped counts records that were skipped because they are not in the form of one.
+// Skipped returns the number of records that were skipped because they are invalid.
 func (x *Index) Skipped() int {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	return x.skipped
 }
 
-// Job returns a job, false if none of that id is known.
+// Job returns the job with an id, and false if it is not known.
 func (x *Index) Job(id string) (Status, bool) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	found, ok := x.jobs[id]
-	if !ok || !found.known || !x.inStep {
+	if !ok || !found.hasEntry || !x.caughtUp {
 		return Status{}, false
 	}
 	return found.status, true
 }
 
-// Unsettled returns the jobs of a partition of which more may be listed.
+// Unsettled returns the jobs of a partition that may get more results.
 func (x *Index) Unsettled(partition int) []Status {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	var unsettled []Status
 	for _, found := range x.jobs {
-		if found.known && !found.status.Settled && found.status.Entry.Partition == partition {
+		if found.hasEntry && !found.status.Settled && found.status.Entry.Partition == partition {
 			unsettled = append(unsettled, found.status)
 		}
 	}
 	return unsettled
 }
 
-// Start returns the offset from which an owner has to read a partition that ends at end: that of the earliest job of which
-// more may be listed, and of the newest one before, whose text may be used again.
+// Start returns the offset from which an owner has to read a partition that ends at end: the offset of the earliest
+// unsettled job, or of the newest settled job if that is lower, since its texts may be reused.
 func (x *Index) Start(partition int, end int64) int64 {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
@@ -213,7 +217,7 @@
 	for _, found := range x.jobs {
 		entry := found.status.Entry
 		switch {
-		case !found.known || entry.Partition != partition || entry.Offset >= end:
+		case !found.hasEntry || entry.Partition != partition || entry.Offset >= end:
 		case found.status.Settled:
 			newest = max(newest, entry.Offset)
 		default:
@@ -226,13 +230,13 @@
 	return start
 }
 
-// Trained returns the jobs of each model that is trained, in order of their acceptance.
+// Trained returns the jobs of each trained model, in order of acceptance.
 func (x *Index) Trained() map[string][]Status {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	trained := make(map[string][]Status)
 	for _, found := range x.jobs {
-		if model := found.status.Entry.Model; found.known && model != "" {
+		if model := found.status.Entry.Model; found.hasEntry && model != "" {
 			trained[model] = append(trained[model], found.status)
 		}
 	}
@@ -244,21 +248,21 @@
 	return trained
 }
 
-// Expired is a job that nobody may ask for any more, with the keys of its records.
+// Expired is a job that has passed its retention time, with the keys of its records.
 type Expired struct {
 	JobID string
-	// IndexKeys are those in the index, JobKeys those in the job's partition.
+	// IndexKeys are the keys in the index, JobKeys the keys in the job's partition.
 	IndexKeys []string
 	JobKeys   []string
 }
 
-// Expired returns the jobs of a partition that were accepted before a moment and of which nothing more is listed.
+// Expired returns the settled jobs of a partition that were accepted before the given time.
 func (x *Index) Expired(partition int, before time.Time) []Expired {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	var all []Expired
 	for id, found := range x.jobs {
-		if !found.known || !found.status.Settled || found.status.Entry.Partition != partition || !found.status.AcceptedAt.Before(before) {
+		if !found.hasEntry || !found.status.Settled || found.status.Entry.Partition != partition || !found.status.AcceptedAt.Before(before) {
 			continue
 		}
 		all = append(all, Expired{JobID: id, IndexKeys: slices.Clone(found.keys), JobKeys: found.status.Entry.keys()})
@@ -269,13 +273,14 @@
 // keys returns the keys that a job may have in its partition.
 func (e *Entry) keys() []string {
 	var keys []string
-	for place := range e.Items {
-		keys = append(keys, resultKey(e.JobID, place), plainResultKey(e.JobID, place), progressKey(e.JobID, place), itemKey(e.JobID, place))
+	for index := range e.Items {
+		keys = append(keys, resultKey(e.JobID, index), unpaddedResultKey(e.JobID, index), progressKey(e.JobID, index), itemKey(e.JobID, index))
 	}
 	return append(keys, settledKey(e.JobID), specKey(e.JobID))
 }
 
-// NewEntry returns the entry of a submission whose records, of a size in bytes, lie from offset to before next.
+// NewEntry returns the index entry of a submission whose records occupy size bytes and lie at offsets from offset to before
+// next.
 func NewEntry(spec Spec, partition keyedlog.Partition, offset, next int64, size int) Entry {
 	entry := Entry{
 		JobID: spec.ID, Host: spec.Host, Model: spec.Model, SubmittedAt: spec.SubmittedAt, Partition: partition.Number,
@@ -288,18 +293,20 @@
 	return entry
 }
 
-// EncodeEntry returns the record that makes a job exist. try tells this record from those of other tries to submit the job.
-func EncodeEntry(entry Entry, try string) (keyedlog.Record, error) {
+// EncodeEntry returns the record that makes a job exist. attemptID distinguishes it from the records of other attempts to
+// submit the job.
+func EncodeEntry(entry Entry, attemptID string) (keyedlog.Record, error) {
 	value, err := entry.MarshalMsg(nil)
-	return keyedlog.Record{Key: indexEntry + separator + entry.JobID + separator + try, Value: value}, err
+	return keyedlog.Record{Key: indexEntry + separator + entry.JobID + separator + attemptID, Value: value}, err
 }
 
-// EncodeEnd returns the record of the index that ends a job.
+// EncodeEnd returns the index record that ends a job.
 func EncodeEnd(jobID string) keyedlog.Record {
 	return keyedlog.Record{Key: indexEnd + separator + jobID, Value: []byte{1}}
 }
 
-// EncodeSettled returns the record of the index that says that nothing more is listed of a job, and what it took.
+// EncodeSettled returns the index record which states that no more results of a job are listed, and how long its items held
+// slots.
 func EncodeSettled(jobID string, end int64, took Took) (keyedlog.Record, error) {
 	settled := Settled{End: end, ItemTime: took.Items.Milliseconds(), LongestTime: took.Longest.Milliseconds()}
 	value, err := settled.MarshalMsg(nil)
--- a/internal/job/index_test.go
+++ b/internal/job/index_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// describeIndex writes down what an index says of the jobs of indexHistory, but for when they were accepted.
+// describeIndex formats what an index returns for the jobs of indexHistory, except for the times of acceptance.
 func describeIndex(index *job.Index) string {
 	text := ""
 	for _, id := range []string{"one", "two"} {
@@ -24,8 +24,9 @@
 	return text + fmt.Sprintln(len(index.Unsettled(3)), index.Start(3, 30), index.Skipped())
 }
 
-// TestIndexIsTheSameInAnyOrder checks that all processes agree on a job handed in twice, however they come to know of it.
-func TestIndexIsTheSameInAnyOrder(t *testing.T) {
+// TestIndexIndependentOfOrder checks that all processes agree on a job that was submitted twice, in whatever order they read
+// its records.
+func TestIndexIndependentOfOrder(t *testing.T) {
 	live := describeIndex(newIndex(t, indexHistory(t), false))
 	rapid.Check(t, func(t *rapid.T) {
 		records := indexHistory(t)
@@ -37,7 +38,7 @@
 	})
 }
 
-func TestTheFirstEntryOfAJobCounts(t *testing.T) {
+func TestFirstEntryOfJobCounts(t *testing.T) {
 	is := is.New(t)
 	index := newIndex(t, indexHistory(t), false)
 	status, known := index.Job("one")
@@ -50,9 +51,9 @@
 	is.Equal(status.SettledEnd, int64(21))
 }
 
-// TestAnIndexThatIsNotInStepAnswersNothing checks that a process that has read only a part of the index knows no job yet: of a
-// job handed in twice it may not have read the first entry.
-func TestAnIndexThatIsNotInStepAnswersNothing(t *testing.T) {
+// TestIndexEmptyUntilCaughtUp checks that an index that was read only in part returns no job: the first entry of a job that
+// was submitted twice may not have been read yet.
+func TestIndexEmptyUntilCaughtUp(t *testing.T) {
 	is := is.New(t)
 	index := job.NewIndex()
 	for _, record := range indexHistory(t) {
@@ -65,8 +66,8 @@
 	is.True(known)
 }
 
-// TestAnOwnerReadsFromTheEarliestOpenJob checks where a partition is read from, by which jobs are settled.
-func TestAnOwnerReadsFromTheEarliestOpenJob(t *testing.T) {
+// TestStartOffset checks from which offset a partition has to be read, depending on which jobs are settled.
+func TestStartOffset(t *testing.T) {
 	is := is.New(t)
 	index := job.NewIndex()
 	offset := int64(0)
@@ -84,17 +85,17 @@
 	is.Equal(index.Start(2, 50), int64(50))
 	apply(job.EncodeSettled("job0", 25, job.Took{}))
 	apply(job.EncodeSettled("job1", 29, job.Took{}))
-	// The text of the newest settled job may be used again.
+	// The text of the newest settled job may be reused.
 	is.Equal(index.Start(1, 50), int64(20))
 	apply(job.EncodeSettled("job2", 45, job.Took{}))
 	apply(job.EncodeSettled("job3", 49, job.Took{}))
 	is.Equal(index.Start(1, 50), int64(40))
-	// A job that was handed in after the partition's end was read is not waited for.
+	// A job that was submitted after the end of the partition was read does not affect the offset.
 	is.Equal(index.Start(1, 40), int64(30))
 }
 
-// TestAnExpiredJobLeavesNothing checks that dropping the keys of an expired job drops every record of it.
-func TestAnExpiredJobLeavesNothing(t *testing.T) {
+// TestExpiredJobDropsAllRecords checks that dropping the keys of an expired job drops every record of it.
+func TestExpiredJobDropsAllRecords(t *testing.T) {
 	is := is.New(t)
 	index := newIndex(t, indexHistory(t), false)
 	is.Equal(len(index.Expired(3, time.Now().Add(-time.Minute))), 0)
@@ -119,26 +120,26 @@
 	for _, record := range append(indexHistory(t), settled) {
 		is.True(dropped[record.Key])
 	}
-	for _, records := range [][]keyedlog.Record{wholeRecords(t, "one", 5), wholeRecords(t, "two", 2)} {
+	for _, records := range [][]keyedlog.Record{allRecordKinds(t, "one", 5), allRecordKinds(t, "two", 2)} {
 		for _, record := range records {
 			is.True(dropped[record.Key])
 		}
 	}
 }
 
-// wholeRecords is every kind of record that a job's partition may hold, none of them in parts.
-func wholeRecords(t *testing.T, id string, items int) []keyedlog.Record {
+// allRecordKinds returns a record of every kind that a job's partition may contain, none of them split into parts.
+func allRecordKinds(t *testing.T, id string, items int) []keyedlog.Record {
 	const limit = 1 << 16
 	records, err := job.EncodeSpec(spec(id, items), limit)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for place := range items {
-		result, err := job.EncodeResult(id, place, job.Result{Text: "text"}, limit)
+	for index := range items {
+		result, err := job.EncodeResult(id, index, job.Result{Text: "text"}, limit)
 		if err != nil {
 			t.Fatal(err)
 		}
-		progress, err := job.EncodeProgress(id, place, 0, job.Progress{}, limit)
+		progress, err := job.EncodeProgress(id, index, 0, job.Progress{}, limit)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -147,7 +148,7 @@
 	return append(records, job.EncodeLast(id))
 }
 
-func TestGarbageInTheIndexIsSkippedAndCounted(t *testing.T) {
+func TestIndexSkipsInvalidRecords(t *testing.T) {
 	is := is.New(t)
 	index := newIndex(t, indexHistory(t), false)
 	before := describeIndex(index)
@@ -174,9 +175,9 @@
 	})
 }
 
-// TestAnOpenJobDoesNotExpire checks that a job of which more may be listed stays for as long as that is so, however long ago it was accepted:
-// its owner dropped it with its results, and nodes answered that it did not exist.
-func TestAnOpenJobDoesNotExpire(t *testing.T) {
+// TestUnsettledJobDoesNotExpire checks that a job that is not settled never expires, however long ago it was accepted.
+// Otherwise its owner drops the job with its results, and nodes answer that it does not exist.
+func TestUnsettledJobDoesNotExpire(t *testing.T) {
 	is := is.New(t)
 	partition := keyedlog.Partition{Topic: keyedlog.TopicJobs, Number: 3}
 	index := job.NewIndex()
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -26,9 +26,8 @@
 	return spec
 }
 
-// history returns the records of two jobs as owners and gateways write them: with a repeated submission, values in several
-// parts, progress, results and an end.
-// history is what is written in the partition of two jobs: one is handed in twice and has not ended, the other has.
+// history returns the records in the partition of two jobs as owners and gateways write them: values split into several
+// parts, progress and results. Job "one" is submitted twice and has not ended, job "two" has ended.
 func history(t interface{ Fatal(...any) }) []keyedlog.Record {
 	var records []keyedlog.Record
 	must := func(more []keyedlog.Record, err error) {
@@ -56,7 +55,7 @@
 	return records
 }
 
-// indexHistory is what is written in the index of the jobs of history.
+// indexHistory returns the index records of the jobs of history.
 func indexHistory(t interface{ Fatal(...any) }) []keyedlog.Record {
 	var records []keyedlog.Record
 	must := func(record keyedlog.Record, err error) {
@@ -86,7 +85,7 @@
 	return index
 }
 
-// fold applies records to a ledger whose index holds both jobs.
+// fold applies records to a ledger whose index contains both jobs.
 func fold(t interface{ Fatal(...any) }, records []keyedlog.Record) *job.Ledger {
 	ledger := job.NewLedger(newIndex(t, indexHistory(t), false), 3)
 	for _, record := range records {
@@ -112,9 +111,9 @@
 	return text.String()
 }
 
-// TestFoldIsTheSameInAnyOrder reads the newest record of each key in any order, as a process that starts late does, and
-// compares with reading every record as it was appended.
-func TestFoldIsTheSameInAnyOrder(t *testing.T) {
+// TestFoldIndependentOfOrder applies the newest record of each key in a random order, as read by a process that starts late,
+// and compares the result with that of applying every record in the order of the log.
+func TestFoldIndependentOfOrder(t *testing.T) {
 	live := describe(fold(t, history(t)))
 	rapid.Check(t, func(t *rapid.T) {
 		newest := make(map[string]keyedlog.Record)
@@ -133,7 +132,7 @@
 	})
 }
 
-func TestAPositionIsNeverFilledTwice(t *testing.T) {
+func TestPositionNotOverwritten(t *testing.T) {
 	is := is.New(t)
 	ledger := fold(t, history(t))
 	again, err := job.EncodeResult("one", 0, job.Result{ItemID: "one-4", Text: "other"}, recordLimit)
@@ -144,8 +143,8 @@
 	is.Equal(ledger.Results("one", 0, 1)[0].ItemID, "one-3")
 }
 
-// TestOnlyResultsWithoutAGapAreRead checks that a position is not shown before all positions below it are.
-func TestOnlyResultsWithoutAGapAreRead(t *testing.T) {
+// TestResultsStopAtFirstGap checks that a position is not returned before all positions below it are listed.
+func TestResultsStopAtFirstGap(t *testing.T) {
 	is := is.New(t)
 	ledger := fold(t, history(t))
 	late, err := job.EncodeResult("one", 3, job.Result{ItemID: "one-4"}, recordLimit)
@@ -159,7 +158,7 @@
 	is.Equal(len(ledger.Results("one", 0, 1<<20)), 4)
 }
 
-func TestResultsComeInPagesOfAtLeastOne(t *testing.T) {
+func TestResultsReturnsAtLeastOne(t *testing.T) {
 	is := is.New(t)
 	ledger := fold(t, history(t))
 	is.Equal(len(ledger.Results("one", 0, 1)), 1)
@@ -167,8 +166,8 @@
 	is.Equal(len(ledger.Results("unknown", 0, 1)), 0)
 }
 
-// TestGarbageIsSkippedAndCounted feeds records that nobody of ours wrote.
-func TestGarbageIsSkippedAndCounted(t *testing.T) {
+// TestLedgerSkipsInvalidRecords applies records that no encoder of this package produces.
+func TestLedgerSkipsInvalidRecords(t *testing.T) {
 	is := is.New(t)
 	ledger := fold(t, history(t))
 	before := describe(ledger)
@@ -188,7 +187,7 @@
 	is.True(!known)
 }
 
-func TestADroppedJobIsForgotten(t *testing.T) {
+func TestDroppedSubmissionRemovesJob(t *testing.T) {
 	is := is.New(t)
 	ledger := fold(t, history(t))
 	is.NoErr(ledger.Apply(keyedlog.Record{Key: "s/one"}))
@@ -196,23 +195,23 @@
 	is.True(!known)
 }
 
-// TestJobsOfOneModelShareAPartition checks that one owner sees all jobs of a model.
-func TestJobsOfOneModelShareAPartition(t *testing.T) {
+// TestJobsOfModelSharePartition checks that one owner sees all jobs of a model.
+func TestJobsOfModelSharePartition(t *testing.T) {
 	is := is.New(t)
 	is.Equal(job.PartitionOf(spec("a", 1), 8, nil), job.PartitionOf(spec("b", 1), 8, nil))
 	models := []string{"l", "m", "n"}
 	is.Equal(job.PartitionOf(spec("a", 1), 8, models), job.PartitionOf(spec("b", 1), 8, models))
 }
 
-// TestModelsLieInPartitionsApart checks that the jobs of models do not share partitions while there are enough, whether the models are
-// trained by one host or by several.
-func TestModelsLieInPartitionsApart(t *testing.T) {
+// TestModelsGetSeparatePartitions checks that the jobs of different models do not share a partition while there are enough
+// partitions, whether the models are trained by one host or by several.
+func TestModelsGetSeparatePartitions(t *testing.T) {
 	is := is.New(t)
 	models := []string{"caption", "description", "material", "provenance"}
 	for hosts := range 8 {
 		seen := make(map[int]bool)
-		for place, model := range models {
-			host := fmt.Sprint("host", hosts*place)
+		for index, model := range models {
+			host := fmt.Sprint("host", hosts*index)
 			partition := job.PartitionOf(job.Spec{Host: host, Model: model}, 4, models)
 			is.True(partition.Number >= 0 && partition.Number < 4)
 			seen[partition.Number] = true
@@ -232,9 +231,9 @@
 	})
 }
 
-// TestAJobRunsInOnePartition checks that a submission that was written to two partitions, by nodes that know other models, is
-// open in the one that its first entry names, and there alone.
-func TestAJobRunsInOnePartition(t *testing.T) {
+// TestJobOpenInOnePartition checks that a submission that was written to two partitions, by nodes with different lists of
+// models, is open only in the partition that its first entry names.
+func TestJobOpenInOnePartition(t *testing.T) {
 	is := is.New(t)
 	index := newIndex(t, indexHistory(t), false)
 	for partition := range 5 {
--- a/internal/job/keys.go
+++ b/internal/job/keys.go
@@ -21,17 +21,18 @@
 	keyProgress = "p"
 	keySettled  = "x"
 	separator   = "/"
-	// partMark comes before the number of a part of a value that is too large for one record.
-	partMark = "#"
+	// partSeparator precedes the number of a part of a value that is too large for one record.
+	partSeparator = "#"
 )
 
-// PartitionOf returns the partition that keeps a job. All jobs that train one model share one, so that one owner knows the
-// whole load of the model. models names all models that are trained, in order: each has a partition to itself while there are enough, so
-// that nobody who reads one model's jobs reads another's. Jobs of other models are spread by model, jobs of none by route. A
-// node that knows other models may choose another partition for a job; the job's entry names the one that counts.
+// PartitionOf returns the partition that stores a job. All jobs that train one model share a partition, so that one owner
+// knows the whole load of the model. models lists all trained models in order; each of them has a partition to itself while
+// there are enough, so that readers of one model's jobs do not read those of another. Jobs of other models are distributed
+// by model, jobs without a model by route. A node with a different list of models may choose another partition for a job;
+// the one named by the job's entry applies.
 func PartitionOf(spec Spec, partitions int, models []string) keyedlog.Partition {
-	if place, found := slices.BinarySearch(models, spec.Model); found {
-		return keyedlog.Partition{Topic: keyedlog.TopicJobs, Number: place % partitions}
+	if index, found := slices.BinarySearch(models, spec.Model); found {
+		return keyedlog.Partition{Topic: keyedlog.TopicJobs, Number: index % partitions}
 	}
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(spec.Host + separator))
@@ -43,53 +44,54 @@
 	return keyedlog.Partition{Topic: keyedlog.TopicJobs, Number: int(hash.Sum32() % uint32(partitions))}
 }
 
-// positionDigits is how many digits the positions in the keys of results are padded to, so that the store's order of keys is that of
-// positions. A job has fewer than 100 million items: a submission of so many would take gigabytes.
+// positionDigits is the number of digits to which the positions in the keys of results are padded, so that the store's key
+// order is the order of positions. A job has fewer than 100 million items: a submission of that many would take gigabytes.
 const positionDigits = 8
 
 func resultKey(jobID string, position int) string {
 	return fmt.Sprintf("%s%0*d", ResultPrefix(jobID), positionDigits, position)
 }
 
-// plainResultKey is the key under which an earlier version keeps a result. Both lie side by side while replicas are replaced.
-func plainResultKey(jobID string, position int) string {
+// unpaddedResultKey is the key that an earlier version uses for a result. Both kinds of keys coexist during a rolling
+// upgrade.
+func unpaddedResultKey(jobID string, position int) string {
 	return ResultPrefix(jobID) + strconv.Itoa(position)
 }
 
-// afterParts sorts after all that follows a position in the keys of its result.
+// afterParts sorts after everything that follows the position in the keys of a result and its parts.
 const afterParts = "~"
 
-// ResultsFrom returns a key after which all results of a job from a position on lie, empty for the first position. Results under keys that
-// are not padded, which processes of other versions write, lie after it whatever their position.
-func ResultsFrom(jobID string, position int) string {
+// ResultsAfterKey returns a key that sorts before the keys of all results of a job from a position on; it is empty for the
+// first position. Unpadded keys, which processes of other versions write, sort after it whatever their position.
+func ResultsAfterKey(jobID string, position int) string {
 	if position <= 0 {
 		return ""
 	}
 	return resultKey(jobID, position-1) + afterParts
 }
 
-func progressKey(jobID string, place int) string {
-	return keyProgress + separator + jobID + separator + strconv.Itoa(place)
+func progressKey(jobID string, index int) string {
+	return keyProgress + separator + jobID + separator + strconv.Itoa(index)
 }
 
-// pieceKey is the key of a later piece of an item's progress; the first one's is progressKey.
-func pieceKey(jobID string, place, piece int) string {
-	return progressKey(jobID, place) + separator + strconv.Itoa(piece)
+// pieceKey is the key of a later piece of an item's progress; the key of the first piece is progressKey.
+func pieceKey(jobID string, index, piece int) string {
+	return progressKey(jobID, index) + separator + strconv.Itoa(piece)
 }
 
 // partKey is the key of a part of a value that is too large for one record.
 func partKey(key string, part int) string {
-	return key + partMark + strconv.Itoa(part)
+	return key + partSeparator + strconv.Itoa(part)
 }
 
-func itemKey(jobID string, place int) string {
-	return keyItem + separator + jobID + separator + strconv.Itoa(place)
+func itemKey(jobID string, index int) string {
+	return keyItem + separator + jobID + separator + strconv.Itoa(index)
 }
 
 func specKey(jobID string) string    { return keySpec + separator + jobID }
 func settledKey(jobID string) string { return keySettled + separator + jobID }
 
-// EncodeSpec returns the records of a submission. limit is the most bytes of one record.
+// EncodeSpec returns the records of a submission. limit is the maximum size of one record in bytes.
 func EncodeSpec(spec Spec, limit int) ([]keyedlog.Record, error) {
 	spec.ItemIDs = make([]string, len(spec.Items))
 	for i := range spec.Items {
@@ -100,22 +102,22 @@
 		return nil, err
 	}
 	records := split(specKey(spec.ID), value, limit)
-	for place := range spec.Items {
-		value, err := spec.Items[place].MarshalMsg(nil)
+	for index := range spec.Items {
+		value, err := spec.Items[index].MarshalMsg(nil)
 		if err != nil {
 			return nil, err
 		}
-		records = append(records, split(itemKey(spec.ID, place), value, limit)...)
+		records = append(records, split(itemKey(spec.ID, index), value, limit)...)
 	}
 	return records, nil
 }
 
-// errElsewhere says that a record is not the one that was looked for, or not whole.
-var errElsewhere = errors.New("record is not where it was looked for")
+// errOtherRecord reports that a record is not the expected one, or is split into parts.
+var errOtherRecord = errors.New("record is not the expected one or is split into parts")
 
-// DecodeHeader returns a submission without its items from its first record.
+// DecodeHeader decodes a submission without its items from its first record.
 func DecodeHeader(record keyedlog.Record, jobID string) (*Spec, error) {
-	value, err := wholeValue(record, specKey(jobID))
+	value, err := unsplitValue(record, specKey(jobID))
 	if err != nil {
 		return nil, err
 	}
@@ -124,9 +126,9 @@
 	return spec, err
 }
 
-// DecodeItem returns the item at a place of a submission from its record.
-func DecodeItem(record keyedlog.Record, jobID string, place int) (*Item, error) {
-	value, err := wholeValue(record, itemKey(jobID, place))
+// DecodeItem decodes the item at an index of a submission from its record.
+func DecodeItem(record keyedlog.Record, jobID string, index int) (*Item, error) {
+	value, err := unsplitValue(record, itemKey(jobID, index))
 	if err != nil {
 		return nil, err
 	}
@@ -135,41 +137,42 @@
 	return item, err
 }
 
-// wholeValue returns the value of a record of a key that holds a value without parts.
-func wholeValue(record keyedlog.Record, key string) ([]byte, error) {
+// unsplitValue returns the value of the record with a key. It fails if the record has another key or its value is split into
+// parts.
+func unsplitValue(record keyedlog.Record, key string) ([]byte, error) {
 	if record.Key != key {
-		return nil, errElsewhere
+		return nil, errOtherRecord
 	}
-	parts, value, err := splitHead(record.Value)
+	parts, value, err := decodePartCount(record.Value)
 	if err == nil && parts > 0 {
-		err = errElsewhere
+		err = errOtherRecord
 	}
 	return value, err
 }
 
-// EncodeLast returns the record of a job's partition after which its owner lists nothing more of it.
+// EncodeLast returns the record in a job's partition after which its owner lists no more results of it.
 func EncodeLast(jobID string) keyedlog.Record {
 	return keyedlog.Record{Key: settledKey(jobID), Value: []byte{1}}
 }
 
-// IsResult tells whether a key is one of a result of a job, or of a part of one.
-func IsResult(key, jobID string) bool {
+// IsResultKey reports whether a key is that of a result of a job, or of a part of one.
+func IsResultKey(key, jobID string) bool {
 	return strings.HasPrefix(key, ResultPrefix(jobID))
 }
 
-// ResultPrefix is what the keys of a job's results begin with, and no others.
+// ResultPrefix returns the prefix of the keys of a job's results, which no other keys have.
 func ResultPrefix(jobID string) string { return keyResult + separator + jobID + separator }
 
-// SubmissionPrefixes is what the keys of a job's submission begin with. Those of a job with a longer id may begin so too: IsSubmission
-// tells them apart.
+// SubmissionPrefixes returns the prefixes of the keys of a job's submission. The submission of a job with a longer id may
+// have keys with these prefixes too; IsSubmissionKey distinguishes them.
 func SubmissionPrefixes(jobID string) []string {
 	return []string{specKey(jobID), keyItem + separator + jobID + separator}
 }
 
-// IsSubmission tells whether a key is that of a job's submission, or of a part of it.
-func IsSubmission(key, jobID string) bool {
+// IsSubmissionKey reports whether a key is that of a job's submission, or of a part of it.
+func IsSubmissionKey(key, jobID string) bool {
 	own := specKey(jobID)
-	return key == own || strings.HasPrefix(key, own+partMark) || strings.HasPrefix(key, keyItem+separator+jobID+separator)
+	return key == own || strings.HasPrefix(key, own+partSeparator) || strings.HasPrefix(key, keyItem+separator+jobID+separator)
 }
 
 // EncodeResult returns the records that list a result at a position.
@@ -184,12 +187,12 @@
 	return split(resultKey(jobID, position), value, limit), nil
 }
 
-// EncodeProgress returns the records that keep how far an item has come. A text from its beginning takes the place of any
-// before it; a later piece is the piece-th of its line, counted from 1.
-func EncodeProgress(jobID string, place, piece int, progress Progress, limit int) ([]keyedlog.Record, error) {
-	key := progressKey(jobID, place)
+// EncodeProgress returns the records that store the progress of an item. Progress that starts at the beginning of the text
+// replaces any progress stored before; a later piece has the number piece in its line, counted from 1.
+func EncodeProgress(jobID string, index, piece int, progress Progress, limit int) ([]keyedlog.Record, error) {
+	key := progressKey(jobID, index)
 	if progress.From > 0 {
-		key = pieceKey(jobID, place, piece)
+		key = pieceKey(jobID, index, piece)
 	}
 	value, err := progress.MarshalMsg(nil)
 	if err != nil {
@@ -201,22 +204,23 @@
 	return split(key, value, limit), nil
 }
 
-// recordOverhead is what a record needs besides key and value.
+// recordOverhead is the size of a record in an append beyond its key and value, in bytes.
 const recordOverhead = 16
 
-// split lays a value over records: parts first, then the record that completes it, which begins with the number of parts.
+// split divides a value into records: first the parts, then the record that completes the value, which begins with the
+// number of parts.
 func split(key string, value []byte, limit int) []keyedlog.Record {
-	room := limit - len(key) - 2*recordOverhead
+	maxPartBytes := limit - len(key) - 2*recordOverhead
 	var records []keyedlog.Record
-	for len(value) > room {
-		records = append(records, keyedlog.Record{Key: partKey(key, len(records)), Value: value[:room]})
-		value = value[room:]
+	for len(value) > maxPartBytes {
+		records = append(records, keyedlog.Record{Key: partKey(key, len(records)), Value: value[:maxPartBytes]})
+		value = value[maxPartBytes:]
 	}
-	last := binary.AppendUvarint(nil, uint64(len(records)))
-	return append(records, keyedlog.Record{Key: key, Value: append(last, value...)})
+	completing := binary.AppendUvarint(nil, uint64(len(records)))
+	return append(records, keyedlog.Record{Key: key, Value: append(completing, value...)})
 }
 
-// Calls splits records into as many calls as they need, of which none is over a limit in bytes unless one record is.
+// Calls groups records into appends, none of which exceeds a limit in bytes unless a single record does.
 func Calls(records []keyedlog.Record, limit int) [][]keyedlog.Record {
 	var calls [][]keyedlog.Record
 	for len(records) > 0 {
@@ -235,7 +239,7 @@
 	return calls
 }
 
-// Size is what records take in an append.
+// Size returns the size of records in an append, in bytes.
 func Size(records []keyedlog.Record) int {
 	size := 0
 	for _, record := range records {
@@ -244,29 +248,30 @@
 	return size
 }
 
-// parsedKey is a key taken apart.
+// parsedKey is a decoded key.
 type parsedKey struct {
 	kind  string
 	jobID string
-	// rest is the position of a result, or the place of an item and the number of its piece.
+	// rest is the position of a result, or the index of an item and the number of its piece.
 	rest string
-	// part is the number of a part of a value, -1 for the record that completes it; whole is the key without it.
-	part  int
-	whole string
+	// part is the number of a part of a value, -1 for the record that completes it; baseKey is the key without the part
+	// number.
+	part    int
+	baseKey string
 }
 
-var errKey = errors.New("key of no record of a job")
+var errKey = errors.New("key is not that of a job record")
 
 func parseKey(key string) (parsedKey, error) {
-	parsed := parsedKey{part: -1, whole: key}
-	if whole, number, found := strings.Cut(key, partMark); found {
+	parsed := parsedKey{part: -1, baseKey: key}
+	if baseKey, number, found := strings.Cut(key, partSeparator); found {
 		part, err := strconv.Atoi(number)
 		if err != nil || part < 0 {
 			return parsedKey{}, errKey
 		}
-		parsed.part, parsed.whole = part, whole
+		parsed.part, parsed.baseKey = part, baseKey
 	}
-	fields := strings.SplitN(parsed.whole, separator, 3)
+	fields := strings.SplitN(parsed.baseKey, separator, 3)
 	if len(fields) < 2 || fields[1] == "" {
 		return parsedKey{}, errKey
 	}
@@ -289,14 +294,15 @@
 	return parsed, nil
 }
 
-// splitHead reads the number of parts that a completing record names, and what follows.
-func splitHead(value []byte) (int, []byte, error) {
+// decodePartCount decodes the number of parts at the start of a completing record, and returns it with the rest of the
+// value.
+func decodePartCount(value []byte) (int, []byte, error) {
 	parts, read := binary.Uvarint(value)
 	if read <= 0 || parts > maxParts {
-		return 0, nil, fmt.Errorf("record names %d parts", parts)
+		return 0, nil, fmt.Errorf("invalid number of parts: %d", parts)
 	}
 	return int(parts), value[read:], nil
 }
 
-// maxParts bounds the parts of one value.
+// maxParts is the maximum number of parts of one value.
 const maxParts = 4096
--- a/internal/job/ledger.go
+++ b/internal/job/ledger.go
@@ -10,8 +10,8 @@
 	"github.com/hillfork/hillfork/internal/keyedlog"
 )
 
-// Ledger holds what was read of the jobs of one partition, and looks up in the index which of them exist and have ended. It
-// is safe for concurrent use; its lock is taken before the index's.
+// Ledger holds the records read of the jobs of one partition, and gets from the index which of the jobs exist and which have
+// ended. It is safe for concurrent use. Its lock is acquired before the lock of the index.
 type Ledger struct {
 	index     *Index
 	partition int
@@ -21,12 +21,12 @@
 	changed broadcast.Signal
 }
 
-// NewLedger returns an empty ledger of the partition of a number.
+// NewLedger returns an empty ledger for the partition with the given number.
 func NewLedger(index *Index, partition int) *Ledger {
 	return &Ledger{index: index, partition: partition, fold: newFold(), changed: broadcast.New()}
 }
 
-// Apply folds a record of the partition. An error says that the record was skipped.
+// Apply folds a record of the partition. An error means that the record was skipped.
 func (l *Ledger) Apply(record keyedlog.Record) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -35,34 +35,34 @@
 	return err
 }
 
-// Changed returns a channel that is closed at the next record.
+// Changed returns a channel that is closed when the next record is applied.
 func (l *Ledger) Changed() <-chan struct{} {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.changed.Changed()
 }
 
-// Skipped counts records that were skipped because they are not in the form of one.
+// Skipped returns the number of records that were skipped because they are invalid.
 func (l *Ledger) Skipped() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.fold.skipped
 }
 
-// View is a job as it stands.
+// View is a snapshot of a job.
 type View struct {
 	Spec *Spec
-	// Listed counts the results that can be read.
+	// Listed is the number of results that can be read.
 	Listed int
-	// Progressed counts the progress of items taken so far.
+	// Progressed is the number of progress records applied so far that extended an item's progress.
 	Progressed int
 	Ended      bool
-	// AcceptedAt is when the job was accepted; Estimated says that it rests on the time of day of another process.
+	// AcceptedAt is when the job was accepted. Estimated reports that it is based on the wall-clock time of another process.
 	AcceptedAt time.Time
 	Estimated  bool
 }
 
-// Job returns a job, false unless its submission was read and the index has it.
+// Job returns the job with an id. It returns false unless the submission was read and the index contains the job.
 func (l *Ledger) Job(id string) (View, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -74,31 +74,32 @@
 	return found.view(status), exists
 }
 
-// lookUp returns what the index says of a job, false if it has the job in another partition: a submission may have been
-// written to several, of which the first entry names the one that counts.
+// lookUp returns the status of a job in the index. It returns false if the index has the job in another partition: a
+// submission may have been written to several partitions, and the first entry names the one that applies.
 func (l *Ledger) lookUp(id string) (Status, bool) {
 	status, exists := l.index.Job(id)
 	return status, exists && status.Entry.Partition == l.partition
 }
 
-func (s *state) view(status Status) View {
+func (s *jobState) view(status Status) View {
 	return View{
-		Spec: s.spec, Listed: s.visible, Progressed: s.progressed, Ended: status.Ended, AcceptedAt: status.AcceptedAt,
+		Spec: s.spec, Listed: s.visible, Progressed: s.progressCount, Ended: status.Ended, AcceptedAt: status.AcceptedAt,
 		Estimated: status.Estimated,
 	}
 }
 
-// Begin has the ledger hold a job's results from a position on only. It must be called before the job's first record is applied.
-func (l *Ledger) Begin(id string, position int) {
+// StartAt limits the ledger to a job's results from a position on. It must be called before the job's first record is
+// applied.
+func (l *Ledger) StartAt(id string, position int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	found := l.fold.job(id)
 	found.base, found.visible = position, position
 }
 
-// Fills tells whether the results of a job from a position on, up to the first gap, have more than limit bytes. The channel is closed at
-// the next change of the job.
-func (l *Ledger) Fills(id string, from, limit int) (bool, <-chan struct{}) {
+// ResultsExceed reports whether the results of a job from a position on, up to the first gap, take more than limit bytes.
+// The channel is closed at the next change of the job.
+func (l *Ledger) ResultsExceed(id string, from, limit int) (bool, <-chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	found := l.fold.job(id)
@@ -109,7 +110,8 @@
 	return size > limit, found.changed.Changed()
 }
 
-// Listed returns how many results of a job can be read, and a channel that is closed at the next change of the job.
+// Listed returns the number of results of a job that can be read, and a channel that is closed at the next change of the
+// job.
 func (l *Ledger) Listed(id string) (int, <-chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -117,15 +119,15 @@
 	return found.visible, found.changed.Changed()
 }
 
-// Missing returns the first position of a job without a result, and how many results lie behind it.
-func (l *Ledger) Missing(id string) (position, behind int) {
+// FirstGap returns the first position of a job without a result, and the number of results after it.
+func (l *Ledger) FirstGap(id string) (position, behind int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	found := l.fold.job(id)
 	return found.visible, len(found.results) - (found.visible - found.base)
 }
 
-// Results returns the results from a position on, at least one if there is one, and then up to limit bytes of text.
+// Results returns the results from a position on: as many as fit into limit bytes, but at least one if there is one.
 func (l *Ledger) Results(id string, from, limit int) []*Result {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -146,10 +148,10 @@
 	return results
 }
 
-// ResultOverhead is what a result takes in an answer besides its text, in bytes.
+// ResultOverhead is the size of a result in a response in addition to its text, in bytes.
 const ResultOverhead = 256
 
-// Size returns about how many bytes a result takes in an answer.
+// Size returns the approximate size of a result in a response, in bytes.
 func (r *Result) Size() int { return len(r.Text) + ResultOverhead }
 
 // Item returns an item of a job.
@@ -160,22 +162,22 @@
 	if !ok || found.spec == nil {
 		return Item{}, false
 	}
-	place, ok := found.index[itemID]
+	itemIndex, ok := found.index[itemID]
 	if !ok {
 		return Item{}, false
 	}
-	return found.spec.Items[place], true
+	return found.spec.Items[itemIndex], true
 }
 
 // OpenItem is an item that is not listed yet.
 type OpenItem struct {
 	Item Item
-	// Place is the item's place in the submission.
+	// Place is the index of the item in the submission.
 	Place    int
 	Progress *Progress
 }
 
-// Open returns the items of a job that are not listed, none if the job has ended.
+// Open returns the items of a job that are not listed, and none if the job has ended.
 func (l *Ledger) Open(id string) []OpenItem {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -185,9 +187,9 @@
 		return nil
 	}
 	var open []OpenItem
-	for place, item := range found.spec.Items {
+	for itemIndex, item := range found.spec.Items {
 		if _, listed := found.listed[item.ID]; !listed {
-			open = append(open, OpenItem{Item: item, Place: place, Progress: found.progress[item.ID]})
+			open = append(open, OpenItem{Item: item, Place: itemIndex, Progress: found.progress[item.ID]})
 		}
 	}
 	return open
@@ -210,8 +212,8 @@
 	return views
 }
 
-// PieceKeys returns the keys of the pieces of progress that a job has in the partition, in order. Nobody needs them once all is listed that
-// will be.
+// PieceKeys returns the keys of the pieces of progress that a job has in the partition, in order. They are no longer needed
+// once the job is settled.
 func (l *Ledger) PieceKeys(id string) []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -222,7 +224,7 @@
 	return slices.Sorted(maps.Keys(found.pieceKeys))
 }
 
-// Seen tells whether an item was in another job.
+// Seen reports whether an item is part of another job.
 func (l *Ledger) Seen(jobID, itemID string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -234,7 +236,8 @@
 	return false
 }
 
-// Text returns the whole text of an item that was listed in another job, as progress without a score, nil if there is none.
+// Text returns the whole text of an item that was listed in another job, as progress without a score. It returns nil if
+// there is none.
 func (l *Ledger) Text(jobID, itemID string) *Progress {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/job/lines.go
+++ b/internal/job/lines.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// lines holds the texts that are kept of one item, by line. Whoever runs an item keeps it piece by piece, so that all pieces of
-// a line together are no larger than its text, and the next owner goes on where the last piece ends.
+// lines holds the stored texts of one item by line. The process that runs an item stores its text piece by piece, so that
+// all pieces of a line together are no larger than the text, and the next owner resumes where the last piece ends.
 type lines map[uint64]*line
 
-// line is one text, with the pieces that came before the ones they follow.
+// line is one text, with the pieces that were read before the pieces that they follow.
 type line struct {
 	text   *Progress
 	pieces map[int]*Progress
 }
 
-// add takes a piece, and returns the text of its line as far as there is no gap, nil if its beginning is missing. Texts that
-// were returned before are not changed.
+// add adds a piece, and returns the text of its line up to the first gap, nil if the start of the line is missing. Texts
+// that were returned before are not modified.
 func (l lines) add(piece *Progress) *Progress {
 	found := l[piece.Line]
 	if found == nil {
@@ -30,7 +30,7 @@
 	return found.text
 }
 
-// extend takes up the pieces that follow the text.
+// extend appends to the text the pieces that follow it.
 func (l *line) extend() {
 	if l.text == nil {
 		return
--- a/internal/job/lines_test.go
+++ b/internal/job/lines_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// TestPiecesOfOneLineAreOneText keeps two lines of one item, of the same length at some places, and reads their records in many
-// orders. What another run has made of an item never goes on with a line, and a gap ends the text.
-func TestPiecesOfOneLineAreOneText(t *testing.T) {
+// TestPiecesOfLineAreJoined stores two lines of one item, with pieces at the same event counts, and applies their records in
+// many orders. Text of one run must never be appended to the line of another run, and a gap must end the text.
+func TestPiecesOfLineAreJoined(t *testing.T) {
 	is := is.New(t)
 	piece := func(line uint64, number, from int, events ...string) keyedlog.Record {
 		records, err := job.EncodeProgress("one", 0, number, job.Progress{
--- a/internal/job/records.go
+++ b/internal/job/records.go
@@ -1,16 +1,16 @@
-// Package job is what a batch job is and how it lasts: its records in the store, and the fold of these records into the
-// jobs of a partition. The fold does not depend on the order of records of different keys, so that it comes to the same
-// whether records are read as they were appended or the newest of each key afterwards. It makes no calls.
+// Package job defines batch jobs and how they are stored: their records in the store, and the fold of these records into the
+// jobs of a partition. The fold does not depend on the order of records of different keys, so that its result is the same
+// whether all records are read in the order of the log or only the newest of each key. The package makes no network calls.
 package job
 
 //go:generate go tool msgp -tests=false -unexported
 
 import "time"
 
-// Spec is what was submitted, without the items.
+// Spec is a submission. Its stored form does not include the items.
 type Spec struct {
 	ID string `msg:"id"`
-	// Route names the route that the job was submitted on; Host is its host.
+	// Route is the name of the route that the job was submitted on; Host is its host.
 	Route string `msg:"route"`
 	Host  string `msg:"host"`
 	// Model is the model that is trained; empty for a job without a trainer.
@@ -18,13 +18,14 @@
 	Step  int64  `msg:"step"`
 	// MinVersion is the oldest weight version that may produce events.
 	MinVersion int64 `msg:"min"`
-	// Desired is how many whole groups the trainer waits for.
+	// Desired is the number of complete groups that the trainer waits for.
 	Desired int `msg:"want"`
 	// SubmittedAt is the time of day of submission in milliseconds since 1970, at the node that accepted it.
 	SubmittedAt int64 `msg:"at"`
-	// Tenant is whose job it is, for good; empty if it was submitted without a key.
+	// Tenant is the tenant that owns the job, which never changes; empty if the job was submitted without a key.
 	Tenant string `msg:"tenant"`
-	// ItemIDs names the items in order. Each item is a record of its own, so that one can be read without the others.
+	// ItemIDs lists the ids of the items in order. Each item is a record of its own, so that one can be read without the
+	// others.
 	ItemIDs []string `msg:"ids"`
 	Items   []Item   `msg:"-"`
 }
@@ -35,7 +36,7 @@
 	Path   string            `msg:"path"`
 	Header map[string]string `msg:"head"`
 	Body   []byte            `msg:"body"`
-	// Tokens is the size of the prompt and the most output together.
+	// Tokens is the size of the prompt plus the maximum output.
 	Tokens int    `msg:"tokens"`
 	Group  string `msg:"group"`
 	// LengthHint is the estimated output in tokens, 0 if none was given.
@@ -43,7 +44,7 @@
 	Scorer     *Scorer `msg:"scorer"`
 }
 
-// work is the estimated output in tokens: the hint, or prompt and most output together where there is none.
+// work returns the estimated output in tokens: the hint, or the prompt plus the maximum output if there is no hint.
 func (i *Item) work() int {
 	if i.LengthHint > 0 {
 		return i.LengthHint
@@ -59,73 +60,74 @@
 	Body []byte `msg:"body"`
 }
 
-// Entry is the short record of a job in the index. A job exists from its first entry on; its items lie in the partition of
-// jobs that the entry names.
+// Entry is the record of a job in the index, which does not contain the items. A job exists from its first entry on; its
+// items are stored in the partition that the entry names.
 type Entry struct {
 	JobID string `msg:"id"`
-	// Host and Path are those of an item, by which its route is found.
+	// Host and Path are those of one of the items and determine the route of the job.
 	Host string `msg:"host"`
 	Path string `msg:"path"`
 	// Model is the model that is trained; empty for a job without a trainer.
 	Model string `msg:"model"`
 	// SubmittedAt is the time of day of submission in milliseconds since 1970, at the node that accepted it.
 	SubmittedAt int64 `msg:"at"`
-	// Partition keeps the job's records: the submission from Offset to before Next, all others from Next on.
+	// Partition stores the job's records: the submission at offsets from Offset to before Next, all others from Next on.
 	Partition int   `msg:"part"`
 	Offset    int64 `msg:"from"`
 	Next      int64 `msg:"next"`
 	// Bytes is the size of the submission's records.
 	Bytes int `msg:"bytes"`
-	// Items counts the items, Work is their estimated output in tokens.
+	// Items is the number of items, Work their estimated output in tokens.
 	Items int   `msg:"items"`
 	Work  int64 `msg:"work"`
-	// Tenant is whose job it is; empty if it was submitted without a key.
+	// Tenant is the tenant that owns the job; empty if it was submitted without a key.
 	Tenant string `msg:"tenant"`
 }
 
-// Settled says that nothing is listed of a job any more: all is listed, or it has ended.
+// Settled is the index record which states that no more results of a job are listed: all are listed, or the job has ended.
 type Settled struct {
 	// End is the offset in the job's partition below which all its results lie.
 	End int64 `msg:"end"`
-	// ItemTime and LongestTime are those of Took, in milliseconds.
+	// ItemTime and LongestTime are the fields of Took in milliseconds.
 	ItemTime    int64 `msg:"took"`
 	LongestTime int64 `msg:"longest"`
 }
 
-// Took is what a job took of engines. The zero value says that nobody knows: no owner ran it from its beginning to its end.
+// Took is the time that a job's items held engine slots. The zero value means that it is unknown: no owner ran the job from
+// start to end.
 type Took struct {
-	// Items is how long its items held places, all taken together.
+	// Items is the sum over all items.
 	Items time.Duration
-	// Longest is how long the longest item held one, of the groups that became whole.
+	// Longest is the maximum over the items of complete groups.
 	Longest time.Duration
 }
 
-// Result is what became of an item.
+// Result is the final result of an item.
 type Result struct {
 	ItemID string `msg:"item"`
-	// Dead says that the item was given up.
+	// Dead reports that the item was abandoned.
 	Dead bool `msg:"dead"`
 	// Text is the data of all events, separated by line feeds.
 	Text string `msg:"text"`
-	// Versions are those that produced an event of the text, in order of their first.
+	// Versions are the weight versions that produced events of the text, in order of their first event.
 	Versions []int64 `msg:"versions"`
 	Score    string  `msg:"score"`
 }
 
-// Progress is how far an item has come that is not listed yet, so that its next owner goes on from there. It is a hint that
-// anyone who has run the item may write: whatever is kept is a true beginning of the item's output.
+// Progress is the partial output of an item that is not listed yet, from which the next owner resumes. It is a hint that any
+// process that has run the item may write: everything stored is a correct prefix of the item's output.
 type Progress struct {
 	ItemID   string   `msg:"item"`
 	Events   []string `msg:"events"`
 	Versions []int64  `msg:"versions"`
-	// Failures counts answers of the engine that the attempt failed.
+	// Failures counts the engine's answers that reported a failed attempt.
 	Failures int `msg:"failures"`
-	// Whole says that the events are all there are; Score is the scorer's word on them, empty if it was not asked yet.
+	// Whole reports that Events is complete; Score is the scorer's answer, empty if the text was not scored yet.
 	Whole bool   `msg:"whole"`
 	Score string `msg:"score"`
-	// Line names one unbroken text, and is alone to whoever makes it: what another run has made of the same item never goes on
-	// with it. From counts the events of the line before Events, 0 for the text from its beginning. All other fields hold for
-	// the whole text up to the last event.
+	// Line identifies one continuous text and is unique to the run that produces it: output of another run of the same item
+	// never continues the line. From is the number of events of the line before Events, 0 if Events start at the beginning
+	// of the text. All other fields apply to the whole text up to the last event.
 	Line uint64 `msg:"line"`
 	From int    `msg:"from"`
 }
--- a/internal/jobs/item.go
+++ b/internal/jobs/item.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// headerBytes and itemRoom size the reads of single records: the first record of a submission holds an id for each item,
-	// and an item may be some times larger than the mean.
-	headerBytes = 1024
-	idBytes     = 32
-	itemRoom    = 8
+	// headerBytes, idBytes and itemSizeFactor determine the size of a read that fetches one record: the first record of a
+	// submission contains an id for each item, and an item may be several times larger than the mean.
+	headerBytes    = 1024
+	idBytes        = 32
+	itemSizeFactor = 8
 )
 
-// errNoRecord says that the store returned no record where one should lie.
-var errNoRecord = errors.New("no record where one should lie")
+// errNoRecord reports that the store returned no record at an offset where one is expected.
+var errNoRecord = errors.New("no record at the expected offset")
 
-// item reads one item of a submission from the store, nil if the submission has none of that id. Items are asked for one by
-// one and at any node, so that what is not asked for is not read.
+// item reads one item of a submission from the store. It returns nil if the submission has no item with that id. Items are
+// read on demand, one at a time and at any node, so that items nobody requests are not read.
 func (s *Service) item(ctx context.Context, entry job.Entry, itemID string) (*job.Item, error) {
-	item, found, err := s.singleItem(ctx, entry, itemID)
+	item, found, err := s.itemByOffset(ctx, entry, itemID)
 	if err == nil && !found {
 		return nil, nil
 	}
 	if err == nil {
 		return item, nil
 	}
-	submission := &jobApplier{id: entry.JobID, ledger: job.NewLedger(s.config.Index, entry.Partition), wanted: job.IsSubmission}
+	submission := &jobApplier{id: entry.JobID, ledger: job.NewLedger(s.config.Index, entry.Partition), matches: job.IsSubmissionKey}
 	if err := s.submission(ctx, entry, submission, err); err != nil {
 		return nil, err
 	}
@@ -42,8 +42,8 @@
 	return &whole, nil
 }
 
-// submission reads all of a submission of which an item could not be read by its place, for the given cause: records of others lie
-// between, the item is in parts, or the store has dropped the records.
+// submission reads a whole submission after reading a single item by its offset failed with the given cause: records of
+// other jobs lie in between, the item is split into parts, or the store has dropped the records.
 func (s *Service) submission(ctx context.Context, entry job.Entry, applier follow.Applier, cause error) error {
 	if !errors.Is(cause, keyedlog.ErrTrimmed) {
 		return follow.Range(ctx, s.config.Log, partitionOf(entry), entry.Offset, entry.Next, entry.Bytes, applier)
@@ -56,8 +56,9 @@
 	return nil
 }
 
-// singleItem reads an item by its place. It fails if the submission's records don't lie one after another.
-func (s *Service) singleItem(ctx context.Context, entry job.Entry, itemID string) (*job.Item, bool, error) {
+// itemByOffset reads an item at the offset computed from its index in the submission. It fails if the submission's records
+// are not contiguous.
+func (s *Service) itemByOffset(ctx context.Context, entry job.Entry, itemID string) (*job.Item, bool, error) {
 	first, err := s.record(ctx, entry, entry.Offset, headerBytes+idBytes*entry.Items)
 	if err != nil {
 		return nil, false, err
@@ -66,19 +67,19 @@
 	if err != nil {
 		return nil, false, err
 	}
-	place := slices.Index(header.ItemIDs, itemID)
-	if place < 0 {
+	index := slices.Index(header.ItemIDs, itemID)
+	if index < 0 {
 		return nil, false, nil
 	}
-	record, err := s.record(ctx, entry, entry.Offset+1+int64(place), headerBytes+itemRoom*entry.Bytes/(entry.Items+1))
+	record, err := s.record(ctx, entry, entry.Offset+1+int64(index), headerBytes+itemSizeFactor*entry.Bytes/(entry.Items+1))
 	if err != nil {
 		return nil, false, err
 	}
-	item, err := job.DecodeItem(record, entry.JobID, place)
+	item, err := job.DecodeItem(record, entry.JobID, index)
 	return item, err == nil, err
 }
 
-// record reads the record at an offset.
+// record reads the record at an offset; size is the number of bytes to request.
 func (s *Service) record(ctx context.Context, entry job.Entry, offset int64, size int) (keyedlog.Record, error) {
 	batch, err := s.config.Log.Read(ctx, partitionOf(entry), keyedlog.Span{From: offset, Bytes: size})
 	if err != nil {
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -1,6 +1,6 @@
-// Package jobs is the gateway side of batch jobs, the same at every node: it makes a submission or an end durable before it
-// is acknowledged, and reads the results of the jobs that it is asked for. Where it can't be sure that a job does not exist it
-// says so. Running the items is not its work.
+// Package jobs implements the gateway side of batch jobs, which is the same at every node. It makes the submission or the
+// end of a job durable before acknowledging it, and reads the results of jobs on request. If it can't be sure that a job
+// does not exist, it reports that. It does not run the items.
 package jobs
 
 import (
@@ -19,20 +19,20 @@
 	"github.com/hillfork/hillfork/internal/pause"
 )
 
-// Outcome says what became of a call.
+// Outcome is the result of a call.
 type Outcome int
 
 // Outcomes of calls.
 const (
-	// Done says that the call took effect, or had before.
+	// Done means that the call took effect, now or earlier.
 	Done Outcome = iota
-	// Refused says that the call had no effect and will have none.
+	// Refused means that the call had no effect and will have none.
 	Refused
-	// Unknown says that the call may have taken effect.
+	// Unknown means that the call may have taken effect.
 	Unknown
-	// Unsure says that the node can't tell whether the job exists.
+	// Unsure means that the node can't determine whether the job exists.
 	Unsure
-	// NotFound says that no such job, or no such item, exists.
+	// NotFound means that no such job, or no such item, exists.
 	NotFound
 )
 
@@ -43,7 +43,7 @@
 	return outcomeNames[o]
 }
 
-// Follower tells how far a partition was read, and whether the store answered last.
+// Follower waits until a partition was read up to an offset, and reports whether the last call to the store got an answer.
 type Follower interface {
 	WaitFor(ctx context.Context, end int64) error
 	Connected() bool
@@ -52,18 +52,18 @@
 // Config configures the service.
 type Config struct {
 	Log keyedlog.Log
-	// Index tells which jobs there are; IndexFollower keeps it in step.
+	// Index lists the existing jobs; IndexFollower keeps it up to date.
 	Index         *job.Index
 	IndexFollower Follower
-	// Models returns the models that are trained, in order; nil stands for none.
+	// Models returns the models that are trained, in order. A nil function means that there are none.
 	Models func() []string
-	// RecordBytes and CallBytes bound a record and an append.
+	// RecordBytes and CallBytes limit the size of one record and of one append.
 	RecordBytes int
 	CallBytes   int
 	Logger      *log.Logger
 }
 
-// Service answers calls on batch jobs. It is safe for concurrent use. Close ends its reading.
+// Service handles calls on batch jobs. It is safe for concurrent use. Close stops all reads.
 type Service struct {
 	config Config
 	ctx    context.Context
@@ -71,50 +71,51 @@
 
 	mutex   sync.Mutex
 	readers map[string]*reader
-	// parked holds readers that were given up of late.
+	// parked holds the readers that were recently abandoned before they had caught up, so that a later call can resume them.
 	parked map[string]*reader
-	// recent holds the jobs whose last call is less than backWithin ago, each until its timer ends.
-	recent  map[string]*time.Timer
-	reading sync.WaitGroup
+	// recentJobs holds the jobs whose last call is less than returnWindow ago, each with the timer that removes it.
+	recentJobs map[string]*time.Timer
+	reading    sync.WaitGroup
 }
 
-// New returns a service.
+// New returns a service without readers; they start with the first calls.
 func New(config Config) *Service {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Service{
 		config: config, ctx: ctx, cancel: cancel, readers: make(map[string]*reader), parked: make(map[string]*reader),
-		recent: make(map[string]*time.Timer),
+		recentJobs: make(map[string]*time.Timer),
 	}
 }
 
-// Close ends all reading.
+// Close stops all reads and waits until they have ended.
 func (s *Service) Close() {
 	s.cancel()
 	s.reading.Wait()
 }
 
 const (
-	// appendPause is the pause between appends that failed. The log bounds each append.
-	appendPause = 60 * time.Millisecond
-	// confirmTimeout bounds the reads that prove that a job does not exist.
+	// appendRetryInterval is the pause after a failed append. The log itself limits the duration of each append.
+	appendRetryInterval = 60 * time.Millisecond
+	// confirmTimeout limits the duration of the reads that prove that a job does not exist.
 	confirmTimeout = 700 * time.Millisecond
-	// slowRead is how long the reading of a job's results may take without a line that tells of it.
-	slowRead = 500 * time.Millisecond
-	// lostPatience bounds a submission or an end while the store does not answer this node: long enough for one append to a
-	// store that is back, and so short that the sender, who asks another node next, loses little to one that is cut off.
-	lostPatience = 300 * time.Millisecond
+	// slowReadThreshold is the duration above which reading a job's results is logged.
+	slowReadThreshold = 500 * time.Millisecond
+	// disconnectedTimeout limits a submission or an end while the store does not answer this node. It is long enough for one
+	// append to a store that has recovered, and short enough that the sender, which tries another node next, loses little
+	// time to a node that is disconnected from the store.
+	disconnectedTimeout = 300 * time.Millisecond
 )
 
-// patient bounds a call that has to append by how long that may take now.
-func (s *Service) patient(ctx context.Context) (context.Context, context.CancelFunc) {
+// withStoreTimeout limits the duration of a call that has to append if the store does not answer this node now.
+func (s *Service) withStoreTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	if s.config.IndexFollower.Connected() {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, lostPatience)
+	return context.WithTimeout(ctx, disconnectedTimeout)
 }
 
-// Submit makes a submission durable: its items first, then the entry in the index that makes the job exist. Items without an
-// entry are no job and never run. A job that is known already is done.
+// Submit makes a submission durable: first its items, then the index entry that makes the job exist. Items without an entry
+// are not a job and never run. Submitting a job that already exists returns Done.
 func (s *Service) Submit(ctx context.Context, spec job.Spec) Outcome {
 	if status, known := s.config.Index.Job(spec.ID); known {
 		s.config.Logger.Info("job is known already", "job", spec.ID, "tenant", spec.Tenant, "owner", status.Entry.Tenant)
@@ -123,7 +124,7 @@
 		}
 		return Done
 	}
-	ctx, cancel := s.patient(ctx)
+	ctx, cancel := s.withStoreTimeout(ctx)
 	defer cancel()
 	spec.SubmittedAt = time.Now().UnixMilli()
 	records, err := job.EncodeSpec(spec, s.config.RecordBytes)
@@ -136,15 +137,15 @@
 		models = s.config.Models()
 	}
 	partition := job.PartitionOf(spec, s.config.Log.Partitions(keyedlog.TopicJobs), models)
-	outcome := s.enter(ctx, spec, partition, records)
+	outcome := s.appendSubmission(ctx, spec, partition, records)
 	s.config.Logger.Info("job submitted", "job", spec.ID, "outcome", outcome, "partition", partition, "items", len(spec.Items),
 		"tenant", spec.Tenant, "bytes", job.Size(records), "model", spec.Model, "step", spec.Step, "wanted", spec.Desired,
 		"min_version", spec.MinVersion)
 	return outcome
 }
 
-// enter appends a submission and its entry.
-func (s *Service) enter(
+// appendSubmission appends the records of a submission and then its index entry.
+func (s *Service) appendSubmission(
 	ctx context.Context, spec job.Spec, partition keyedlog.Partition, records []keyedlog.Record,
 ) Outcome {
 	var offset, next int64
@@ -154,7 +155,7 @@
 			break
 		}
 		errorlog.Debug(s.config.Logger, "append failed", err, "partition", partition)
-		if !pause.For(ctx, appendPause) {
+		if !pause.For(ctx, appendRetryInterval) {
 			return Refused
 		}
 	}
@@ -169,8 +170,8 @@
 	})
 }
 
-// Permit tells whether a tenant may ask for a job. One of another tenant does not exist for it. The tenant is empty where callers have
-// none, and may ask for any.
+// Permit reports whether a tenant may access a job: Done if it may, NotFound for a job of another tenant. An empty tenant
+// means that callers have no tenants; such a caller may access any job.
 func (s *Service) Permit(ctx context.Context, id, tenant string) Outcome {
 	status, outcome := s.lookUp(ctx, id)
 	if outcome != Done {
@@ -183,16 +184,16 @@
 	return Done
 }
 
-// Public tells whether a job was submitted without a key, as on a public route: anyone may ask for it. It is false for a job that is not
-// known here.
+// Public reports whether a job was submitted without a key, as on a public route, so that every caller may access it. It
+// returns false for a job that is not in this node's index.
 func (s *Service) Public(id string) bool {
 	status, known := s.config.Index.Job(id)
 	return known && status.Entry.Tenant == ""
 }
 
-// End ends a job durably.
+// End ends a job and returns once the end is durable.
 func (s *Service) End(ctx context.Context, id string) Outcome {
-	ctx, cancel := s.patient(ctx)
+	ctx, cancel := s.withStoreTimeout(ctx)
 	defer cancel()
 	status, outcome := s.lookUp(ctx, id)
 	if outcome != Done {
@@ -209,9 +210,9 @@
 	return outcome
 }
 
-// appendIndex appends a record to the index until the store says that it is there, or the index shows it, or the context
-// ends. The record may be appended twice without harm.
-func (s *Service) appendIndex(ctx context.Context, record keyedlog.Record, shown func() bool) Outcome {
+// appendIndex appends a record to the index until the store confirms it, the index contains it as reported by applied, or
+// the context ends. Appending the record twice is harmless.
+func (s *Service) appendIndex(ctx context.Context, record keyedlog.Record, applied func() bool) Outcome {
 	uncertain := false
 	for {
 		_, err := s.config.Log.Append(ctx, keyedlog.JobIndex, []keyedlog.Record{record}, nil)
@@ -219,16 +220,16 @@
 			return Done
 		}
 		uncertain = uncertain || !errors.Is(err, keyedlog.ErrNotDone)
-		if shown() {
+		if applied() {
 			return Done
 		}
 		errorlog.Debug(s.config.Logger, "append failed", err, "partition", keyedlog.JobIndex)
-		if !pause.For(ctx, appendPause) {
+		if !pause.For(ctx, appendRetryInterval) {
 			break
 		}
 	}
 	switch {
-	case shown():
+	case applied():
 		return Done
 	case uncertain:
 		return Unknown
@@ -237,8 +238,8 @@
 	}
 }
 
-// appendAll appends records, in several calls if they are more than one takes, and returns the offset of the first and that
-// after the last. Records of others may lie between.
+// appendAll appends records, in several calls if they exceed the size of one, and returns the offset of the first record and
+// the offset after the last. Records of other jobs may lie in between.
 func (s *Service) appendAll(
 	ctx context.Context, partition keyedlog.Partition, records []keyedlog.Record,
 ) (offset, next int64, err error) {
@@ -256,7 +257,7 @@
 	return offset, next, nil
 }
 
-// lookUp returns a job, or proves that there is none.
+// lookUp returns a job, or proves that it does not exist.
 func (s *Service) lookUp(ctx context.Context, id string) (job.Status, Outcome) {
 	if status, known := s.config.Index.Job(id); known {
 		return status, Done
@@ -272,25 +273,26 @@
 	return job.Status{}, NotFound
 }
 
-// confirm waits until the index holds all that is in the store now.
+// confirm waits until the index contains everything that is in the store at the time of the call.
 func (s *Service) confirm(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	return follow.Confirm(ctx, s.config.Log, keyedlog.JobIndex, s.config.IndexFollower)
 }
 
-// Listing is a part of a job's results.
+// Listing is a page of a job's results.
 type Listing struct {
 	Total   int
 	Results []*job.Result
-	// Next is the position after the last result.
+	// Next is the position after the last result of the page.
 	Next int
 }
 
-// listingBytes bounds the text of one listing; the platform's callers take 1 MB.
+// listingBytes limits the text of one listing; the platform's callers accept 1 MB.
 const listingBytes = 900 << 10
 
-// Results returns the results from a position on, waiting up to wait for the first one.
+// Results returns the results of a job from a position on. If there are none yet, it waits for the first one for at most
+// wait.
 func (s *Service) Results(ctx context.Context, id string, from int, wait time.Duration) (Listing, Outcome) {
 	status, outcome := s.lookUp(ctx, id)
 	if outcome != Done {
@@ -298,12 +300,12 @@
 	}
 	from = max(0, from)
 	reader := s.reader(status, from)
-	began := time.Now()
-	err := reader.ready(ctx, from, listingBytes)
-	defer func() { s.left(reader, err) }()
-	if took := time.Since(began); err == nil && took > slowRead {
+	started := time.Now()
+	err := reader.waitReady(ctx, from, listingBytes)
+	defer func() { s.release(reader, err) }()
+	if elapsed := time.Since(started); err == nil && elapsed > slowReadThreshold {
 		s.config.Logger.Info("results of a job read slowly", "job", id, "partition", partitionOf(status.Entry),
-			"took", took.Round(time.Millisecond), "position", from, "records", reader.read.records.Load(), "bytes", reader.read.bytes.Load(),
+			"took", elapsed.Round(time.Millisecond), "position", from, "records", reader.readLog.records.Load(), "bytes", reader.readLog.bytes.Load(),
 			"from", status.Entry.Next, "settled", status.Settled, "settled_end", status.SettledEnd)
 	}
 	if err != nil {
@@ -311,26 +313,26 @@
 			"from", status.Entry.Next, "settled", status.Settled, "settled_end", status.SettledEnd)
 		return Listing{}, Unsure
 	}
-	reader.awaitResult(ctx, from, wait)
-	s.checkWhole(reader)
+	reader.waitResult(ctx, from, wait)
+	s.logMissingResults(reader)
 	results := reader.ledger.Results(id, from, listingBytes)
 	return Listing{Total: status.Entry.Items, Results: results, Next: from + len(results)}, Done
 }
 
-// checkWhole logs that results of a settled job are missing: one that was not ended has all of them, and none has a gap. It logs once a
-// reader.
-func (s *Service) checkWhole(r *reader) {
+// logMissingResults logs, once per reader, that results of a settled job are missing: a job that settled without having been
+// ended has all its results, and no settled job has a gap between results.
+func (s *Service) logMissingResults(r *reader) {
 	select {
 	case <-r.complete:
 	default:
 		return
 	}
 	status, known := s.config.Index.Job(r.entry.JobID)
-	position, behind := r.ledger.Missing(r.entry.JobID)
+	position, behind := r.ledger.FirstGap(r.entry.JobID)
 	if !known || behind == 0 && (status.Ended || position >= r.entry.Items) {
 		return
 	}
-	r.missed.Do(func() {
+	r.logMissingOnce.Do(func() {
 		s.config.Logger.Error("results of a settled job are missing", "job", r.entry.JobID, "partition", partitionOf(r.entry),
 			"position", position, "behind", behind, "items", r.entry.Items, "from", r.base, "ended", status.Ended, "settled_end", status.SettledEnd)
 	})
@@ -352,7 +354,7 @@
 		default:
 			return item.Body, Done
 		}
-		if !pause.For(ctx, appendPause) {
+		if !pause.For(ctx, appendRetryInterval) {
 			return nil, Unsure
 		}
 	}
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -23,7 +23,7 @@
 
 const (
 	partitions = 3
-	// callBytes holds a whole submission of these tests in one append.
+	// callBytes is large enough for one append to hold a whole submission of most of these tests.
 	callBytes = 10000
 )
 
@@ -34,20 +34,19 @@
 	lines   *lines
 }
 
-// lines keeps the log of a node.
+// lines collects the log output of a node.
 type lines struct {
 	mutex sync.Mutex
 	text  strings.Builder
 }
 
-// Write takes a part of the log.
 func (l *lines) Write(part []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.Write(part)
 }
 
-// count returns how often the log has a text.
+// count returns how often a text occurs in the log.
 func (l *lines) count(text string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -64,11 +63,11 @@
 func (a applier) Advanced(end int64) { a.index.Advanced(end) }
 
 func newNode(t *testing.T, store *memorylog.Store, name string) *node {
-	return newNodeOver(t, store.For(name))
+	return newNodeWithLog(t, store.For(name))
 }
 
-// newNodeOver returns a node that reaches the store by a log of its own.
-func newNodeOver(t *testing.T, store keyedlog.Log) *node {
+// newNodeWithLog returns a node that accesses the store through the given log.
+func newNodeWithLog(t *testing.T, store keyedlog.Log) *node {
 	index := job.NewIndex()
 	ctx, cancel := context.WithCancel(context.Background())
 	follower := follow.New(follow.Config{
@@ -81,20 +80,20 @@
 		defer running.Add(-1)
 		follower.Run(ctx)
 	}()
-	written := &lines{}
+	output := &lines{}
 	service := jobs.New(jobs.Config{
 		Log: storetimeout.New(store), Index: index, IndexFollower: follower, RecordBytes: 300, CallBytes: callBytes,
-		Logger: log.New(written),
+		Logger: log.New(output),
 	})
 	t.Cleanup(func() {
 		cancel()
 		service.Close()
 		synctest.Wait()
 		if running.Load() != 0 {
-			t.Error("the follower runs on")
+			t.Error("the follower is still running")
 		}
 	})
-	return &node{index: index, service: service, lines: written}
+	return &node{index: index, service: service, lines: output}
 }
 
 func newStore() *memorylog.Store {
@@ -109,7 +108,8 @@
 	return spec
 }
 
-// TestSubmit brings about each fate of the store's answer and checks that the outcome is true.
+// TestSubmit injects each kind of fault into the appends of a submission and checks that the outcome agrees with whether the
+// job exists.
 func TestSubmit(t *testing.T) {
 	always := func(fault memorylog.Fault, topics ...keyedlog.Topic) func(memorylog.Call) memorylog.Fault {
 		return func(call memorylog.Call) memorylog.Fault {
@@ -120,12 +120,12 @@
 		}
 	}
 	once := func(fault memorylog.Fault, topic keyedlog.Topic) func(memorylog.Call) memorylog.Fault {
-		met := false
+		injected := false
 		return func(call memorylog.Call) memorylog.Fault {
-			if call.Operation != "append" || call.Partition.Topic != topic || met {
+			if call.Operation != "append" || call.Partition.Topic != topic || injected {
 				return memorylog.None
 			}
-			met = true
+			injected = true
 			return fault
 		}
 	}
@@ -136,12 +136,12 @@
 		outcome jobs.Outcome
 		exists  bool
 	}{
-		{"calm", always(memorylog.None), jobs.Done, true},
+		{"no fault", always(memorylog.None), jobs.Done, true},
 		{"items: answer lost once", once(memorylog.LostAfter, items), jobs.Done, true},
 		{"items: call lost once", once(memorylog.LostBefore, items), jobs.Done, true},
 		{"items: done later once", once(memorylog.LostLate, items), jobs.Done, true},
 		{"items: calls always lost", always(memorylog.LostBefore, items), jobs.Refused, false},
-		// Items that are written without an entry in the index are no job.
+		// Items without an index entry are not a job.
 		{"items: answers always lost", always(memorylog.LostAfter, items), jobs.Refused, false},
 		{"items: always done later", always(memorylog.LostLate, items), jobs.Refused, false},
 		{"index: answer lost once", once(memorylog.LostAfter, index), jobs.Done, true},
@@ -178,8 +178,9 @@
 	}
 }
 
-// TestALargeJobIsSubmittedInSeveralCalls checks that a job over what one append takes is whole, or not there at all.
-func TestALargeJobIsSubmittedInSeveralCalls(t *testing.T) {
+// TestSubmitSplitsLargeJob checks that a job larger than one append is submitted whole over several appends, one of which
+// loses its answer.
+func TestSubmitSplitsLargeJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
@@ -207,8 +208,8 @@
 	})
 }
 
-// TestSubmittedTwiceIsOneJob checks that a job handed in at two nodes at once is one.
-func TestSubmittedTwiceIsOneJob(t *testing.T) {
+// TestConcurrentSubmitsCreateOneJob checks that a job submitted at two nodes at the same time exists once.
+func TestConcurrentSubmitsCreateOneJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
@@ -225,8 +226,8 @@
 	})
 }
 
-// TestReadsAtAnyNode checks that a job accepted at one node is known, read and ended at another.
-func TestReadsAtAnyNode(t *testing.T) {
+// TestJobAccessibleAtAnyNode checks that a job accepted at one node can be read and ended at another.
+func TestJobAccessibleAtAnyNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
@@ -243,7 +244,7 @@
 		is.Equal(outcome, jobs.NotFound)
 
 		started := time.Now()
-		time.AfterFunc(300*time.Millisecond, func() { list(t, store, "one", 0, "i3") })
+		time.AfterFunc(300*time.Millisecond, func() { listResult(t, store, "one", 0, "i3") })
 		listing, outcome = other.service.Results(t.Context(), "one", 0, time.Second)
 		is.Equal(outcome, jobs.Done)
 		is.Equal(time.Since(started), 300*time.Millisecond)
@@ -257,13 +258,13 @@
 		is.Equal(gateway.service.End(t.Context(), "one"), jobs.Done)
 		status, _ := gateway.index.Job("one")
 		is.True(status.Ended)
-		// What is listed stays.
+		// Listed results stay after the end of the job.
 		listing, _ = gateway.service.Results(t.Context(), "one", 0, 0)
 		is.Equal(listing.Next, 1)
 	})
 }
 
-func list(t *testing.T, store *memorylog.Store, jobID string, position int, itemID string) {
+func listResult(t *testing.T, store *memorylog.Store, jobID string, position int, itemID string) {
 	records, err := job.EncodeResult(jobID, position, job.Result{ItemID: itemID, Text: "text"}, 300)
 	if err == nil {
 		_, err = store.For("owner").Append(context.Background(), job.PartitionOf(spec(jobID), partitions, nil), records, nil)
@@ -273,8 +274,8 @@
 	}
 }
 
-// TestNotFoundIsProven checks that a node says that a job does not exist only if the store confirms it.
-func TestNotFoundIsProven(t *testing.T) {
+// TestNotFoundRequiresStore checks that a node reports a job as not found only if the store confirms it.
+func TestNotFoundRequiresStore(t *testing.T) {
 	faults := map[string]memorylog.Fault{"down": memorylog.Down, "reset": memorylog.LostBefore, "silent": memorylog.Silent}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -296,7 +297,7 @@
 				defer cancel()
 				is.Equal(cutOff.service.End(ctx, "one"), jobs.Unsure)
 				store.Heal()
-				// A read that the store left open is given up within this time.
+				// A read that the store left open times out within this time.
 				time.Sleep(2500 * time.Millisecond)
 				_, outcome = cutOff.service.Results(t.Context(), "none", 0, 0)
 				is.Equal(outcome, jobs.NotFound)
@@ -307,9 +308,9 @@
 	}
 }
 
-// TestANodeThatIsCutOffAnswersAtOnce cuts a node off from the store. Once it has noticed, a submission and an end are answered
-// within a moment, however long the sender waits, and it serves again with the store's return.
-func TestANodeThatIsCutOffAnswersAtOnce(t *testing.T) {
+// TestDisconnectedNodeRefusesQuickly disconnects a node from the store. Once the node has detected this, it must answer a
+// submission and an end within a second, whatever the sender's timeout, and succeed again once the store is back.
+func TestDisconnectedNodeRefusesQuickly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
--- a/internal/jobs/position_test.go
+++ b/internal/jobs/position_test.go
@@ -16,7 +16,7 @@
 	"github.com/hillfork/hillfork/internal/standin/memorylog"
 )
 
-// countingLog counts the records that reads bring.
+// countingLog counts the records of job partitions that reads return.
 type countingLog struct {
 	keyedlog.Log
 	records atomic.Int64
@@ -40,7 +40,7 @@
 	}
 }
 
-// listedJob is a job of many items in a store, with results listed from 0 on.
+// listedJob is a job with many items in a store, with results listed from position 0 on.
 type listedJob struct {
 	store  *memorylog.Store
 	spec   job.Spec
@@ -48,11 +48,12 @@
 	log    *countingLog
 }
 
-// textOf is the text of the result at a position.
+// textOf returns the text of the result at a position.
 func textOf(position int) string { return fmt.Sprint("text ", position) }
 
-// list lists the results from a position to before another. Those for which plain is true lie under keys without padding.
-func (j *listedJob) list(t *testing.T, from, to int, plain func(position int) bool) {
+// listResults lists the results of the positions in [from, to). Results for which plain returns true get keys without zero
+// padding.
+func (j *listedJob) listResults(t *testing.T, from, to int, plain func(position int) bool) {
 	t.Helper()
 	for position := from; position < to; position++ {
 		records, err := job.EncodeResult(
@@ -71,24 +72,25 @@
 
 func padded(int) bool { return false }
 
-// newListedJob submits a job of so many items, and waits until reads begin with the newest records.
+// newListedJob submits a job with the given number of items, and waits until reads of it start with the newest record of
+// each key.
 func newListedJob(t *testing.T, items int) *listedJob {
 	t.Helper()
 	store := memorylog.New(memorylog.Config{Partitions: partitions, Delay: 5 * time.Millisecond})
 	gateway := newNode(t, store, "gateway")
 	many := job.Spec{ID: "many", Host: "h", Model: "m"}
-	for place := range items {
-		many.Items = append(many.Items, job.Item{ID: fmt.Sprint("i", place), Path: "/p", Body: []byte("body")})
+	for index := range items {
+		many.Items = append(many.Items, job.Item{ID: fmt.Sprint("i", index), Path: "/p", Body: []byte("body")})
 	}
 	if outcome := gateway.service.Submit(t.Context(), many); outcome != jobs.Done {
 		t.Fatal(outcome)
 	}
 	time.Sleep(2 * time.Second)
 	counting := &countingLog{Log: store.For("reader")}
-	return &listedJob{store: store, spec: many, log: counting, reader: newNodeOver(t, counting)}
+	return &listedJob{store: store, spec: many, log: counting, reader: newNodeWithLog(t, counting)}
 }
 
-// check reads from a position and checks what comes.
+// check reads the results from a position on and checks that they are those of the positions in [from, to).
 func (j *listedJob) check(t *testing.T, from, to int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
@@ -97,59 +99,59 @@
 	if outcome != jobs.Done || listing.Total != len(j.spec.Items) || listing.Next != to || len(listing.Results) != to-from {
 		t.Fatalf("%v, %d results of %d, next %d, want %d", outcome, len(listing.Results), listing.Total, listing.Next, to)
 	}
-	for place, result := range listing.Results {
-		if result.Text != textOf(from+place) {
-			t.Errorf("position %d holds %q", from+place, result.Text)
+	for index, result := range listing.Results {
+		if result.Text != textOf(from+index) {
+			t.Errorf("position %d has text %q", from+index, result.Text)
 		}
 	}
 }
 
-// TestAReadBringsWhatLiesBehindItsPosition has the last of 200 results asked for. Each call of a caller comes to another process. To read
-// all results of the job for it takes up to 1.1 s of a step on links of 45 to 60 Mbit/s.
-func TestAReadBringsWhatLiesBehindItsPosition(t *testing.T) {
+// TestReadFetchesOnlyFromPosition reads the last two of 200 results. Each call of a caller may reach another process; if
+// that process read all results of the job for it, this would take up to 1.1 s of a step on links of 45 to 60 Mbit/s.
+func TestReadFetchesOnlyFromPosition(t *testing.T) {
 	// A page of the store holds three records.
-	const listed, asked, recordsMost = 200, 198, 6
-	for _, forgotten := range []bool{false, true} {
-		t.Run(fmt.Sprint("forgotten ", forgotten), func(t *testing.T) {
+	const listed, from, maxRecords = 200, 198, 6
+	for _, trimmed := range []bool{false, true} {
+		t.Run(fmt.Sprint("forgotten ", trimmed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				many := newListedJob(t, listed+10)
-				many.list(t, 0, listed, padded)
-				if forgotten {
+				many.listResults(t, 0, listed, padded)
+				if trimmed {
 					many.store.Forget()
 				}
-				many.check(t, asked, listed)
+				many.check(t, from, listed)
 				time.Sleep(5 * time.Second)
-				if records := many.log.records.Load(); records > recordsMost {
-					t.Errorf("%d records read for %d results", records, listed-asked)
+				if records := many.log.records.Load(); records > maxRecords {
+					t.Errorf("%d records read for %d results", records, listed-from)
 				}
 			})
 		})
 	}
 }
 
-// TestNothingIsReadBetweenCallsThatGoElsewhere has others fill the partition after one call. A process that reads on between calls reads
-// all that they append, at as many processes as a caller's calls come to.
-func TestNothingIsReadBetweenCallsThatGoElsewhere(t *testing.T) {
+// TestNoReadsBetweenCalls has other writers fill the partition after a single call. A process that kept reading between
+// calls would read everything they append, and so would every other process that a caller's calls reach.
+func TestNoReadsBetweenCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		many := newListedJob(t, 100)
-		many.list(t, 0, 10, padded)
+		many.listResults(t, 0, 10, padded)
 		many.check(t, 10, 10)
 		before := many.log.records.Load()
-		many.list(t, 10, 50, padded)
+		many.listResults(t, 10, 50, padded)
 		time.Sleep(5 * time.Second)
 		if records := many.log.records.Load() - before; records > 0 {
-			t.Errorf("%d records read while nobody asked", records)
+			t.Errorf("%d records read between calls", records)
 		}
 		many.check(t, 45, 50)
 	})
 }
 
-// TestAReaderIsKeptForCallersThatComeBack checks that where calls come to one process the second has the reader kept: a third is answered
-// while the store is down.
-func TestAReaderIsKeptForCallersThatComeBack(t *testing.T) {
+// TestReaderKeptForReturningCallers checks that the second call on a job to the same process has the reader kept: a third
+// call is answered while the store is down.
+func TestReaderKeptForReturningCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		many := newListedJob(t, 100)
-		many.list(t, 0, 10, padded)
+		many.listResults(t, 0, 10, padded)
 		for range 2 {
 			many.check(t, 5, 10)
 			time.Sleep(500 * time.Millisecond)
@@ -159,8 +161,9 @@
 	})
 }
 
-// TestOlderKeysAreRead reads jobs of which all or some results lie under keys without padding.
-func TestOlderKeysAreRead(t *testing.T) {
+// TestUnpaddedKeysAreRead reads jobs of which all or some results have keys without zero padding, as older versions write
+// them.
+func TestUnpaddedKeysAreRead(t *testing.T) {
 	const listed = 25
 	for name, plain := range map[string]func(position int) bool{
 		"all":   func(int) bool { return true },
@@ -171,7 +174,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				many := newListedJob(t, listed)
-				many.list(t, 0, listed, plain)
+				many.listResults(t, 0, listed, plain)
 				for _, from := range []int{20, 0, 1, 9, 10, 13, 24, 25} {
 					many.check(t, from, listed)
 					time.Sleep(3 * time.Second)
@@ -181,12 +184,12 @@
 	}
 }
 
-// TestALowerPositionIsReadAfterAHigherOne has two callers at one process ask in turn, the later one for results before those that the
-// process reads.
-func TestALowerPositionIsReadAfterAHigherOne(t *testing.T) {
+// TestReadLowerPositionAfterHigher has two callers at one process read in turn, the later one from a position before the one
+// that the process reads from.
+func TestReadLowerPositionAfterHigher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		many := newListedJob(t, 40)
-		many.list(t, 0, 20, padded)
+		many.listResults(t, 0, 20, padded)
 		for range 3 {
 			many.check(t, 18, 20)
 			many.check(t, 2, 20)
@@ -199,17 +202,18 @@
 		}()
 		time.Sleep(100 * time.Millisecond)
 		many.check(t, 0, 20)
-		many.list(t, 20, 21, padded)
-		// Whoever waits goes on doing so while another reads from before.
+		many.listResults(t, 20, 21, padded)
+		// The waiting call continues while another call reads from an earlier position.
 		if listing := <-waited; len(listing.Results) != 1 || listing.Next != 21 {
 			t.Errorf("%d results, next %d", len(listing.Results), listing.Next)
 		}
 	})
 }
 
-// TestAListingThatIsFullWaitsForNoMore has a job of some megabytes read from its beginning: a listing holds 0.9 MB.
-func TestAListingThatIsFullWaitsForNoMore(t *testing.T) {
-	const results, recordsMost = 100, 24
+// TestFullListingReturnsEarly reads a job of several megabytes from the start: a listing holds 0.9 MB, and the call must
+// return without reading the remaining results.
+func TestFullListingReturnsEarly(t *testing.T) {
+	const results, maxRecords = 100, 24
 	synctest.Test(t, func(t *testing.T) {
 		many := newListedJob(t, results)
 		for position := range results {
@@ -226,13 +230,13 @@
 		if outcome != jobs.Done || len(listing.Results) == 0 {
 			t.Fatalf("%v, %d results", outcome, len(listing.Results))
 		}
-		if records := many.log.records.Load(); records > recordsMost {
+		if records := many.log.records.Load(); records > maxRecords {
 			t.Errorf("%d records read for %d results", records, len(listing.Results))
 		}
 	})
 }
 
-// TestMissingResultsAreLogged reads settled jobs of which results are there or not.
+// TestMissingResultsAreLogged reads settled jobs with and without missing results.
 func TestMissingResultsAreLogged(t *testing.T) {
 	const items = 12
 	for name, test := range map[string]struct {
@@ -251,7 +255,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				many := newListedJob(t, items)
 				for span := range slices.Chunk(test.listed, 2) {
-					many.list(t, span[0], span[1], padded)
+					many.listResults(t, span[0], span[1], padded)
 				}
 				many.settle(t, test.ended)
 				for range 3 {
@@ -266,7 +270,7 @@
 	}
 }
 
-// settle has the index say that nothing more is listed of the job.
+// settle records in the index that no more results of the job are listed.
 func (j *listedJob) settle(t *testing.T, ended bool) {
 	t.Helper()
 	owner := j.store.For("owner")
--- a/internal/jobs/reader.go
+++ b/internal/jobs/reader.go
@@ -12,68 +12,70 @@
 )
 
 const (
-	// readWait is how long the store may hold a read of results open, readSpacing the least time between two reads that
-	// brought some.
-	readWait    = time.Second
-	readSpacing = 20 * time.Millisecond
-	// settledBytes is about how much one read returns of a settled job: what lies behind its last result belongs to others. A job
-	// of some megabytes takes a few reads, and the last one brings some 30 ms too much on a link of 60 Mbit/s.
-	// All that lies behind one that is not settled has to be read.
-	settledBytes = 512 << 10
-	// idleAfter is how long after the last call on a job its results are kept here, if its callers come back to this process. Callers read
-	// about twice a second.
-	idleAfter = 2 * time.Second
-	// backWithin is how soon after a call the next one on the same job must come to show that its callers come back to this process: two
-	// of their polls. Where each call comes to another process nothing is read between calls.
-	backWithin = time.Second
-	// idleLook is how often that is looked at.
-	idleLook = time.Second
-	// freshFor is how long after its acceptance a job is read from its submission on, which takes one call. Later, records of others take
-	// many times what its results do; the newest records of these take two calls or three.
-	freshFor = time.Second
-	// parkedFor is how long a part of a job's results that was read is kept for the next call, which comes at once as a rule.
-	parkedFor = 5 * time.Second
+	// longPollTimeout is how long the store may hold a read of results open. minReadInterval is the minimum time between two
+	// reads that returned records.
+	longPollTimeout = time.Second
+	minReadInterval = 20 * time.Millisecond
+	// settledReadBytes is the approximate size of one read for a settled job: everything after its last result belongs to
+	// other jobs. A job of several megabytes takes a few reads, and the last one returns some 30 ms too much on a link of 60
+	// Mbit/s. For a job that is not settled, everything after its results has to be read.
+	settledReadBytes = 512 << 10
+	// idleTimeout is how long after the last call on a job its results are kept in this process if its callers return to
+	// this process. Callers read about twice a second.
+	idleTimeout = 2 * time.Second
+	// returnWindow is the maximum time between two calls on a job from which this process concludes that its callers return
+	// to it: two of their poll intervals. Where each call reaches another process, nothing is read between calls.
+	returnWindow = time.Second
+	// idleCheckInterval is the interval between checks for idle readers.
+	idleCheckInterval = time.Second
+	// freshWindow is how long after its acceptance a job is read starting at its submission, which takes one call. After
+	// that, records of other jobs take many times the size of its results, while reading the newest record of each of its
+	// keys takes two or three calls.
+	freshWindow = time.Second
+	// parkedTimeout is how long partially read results are kept for the next call, which usually follows at once.
+	parkedTimeout = 5 * time.Second
 )
 
-// reader follows the results of one job from a position on while it is asked for. A job is read once by each process that is asked for it,
-// not by all processes.
+// reader follows the results of one job from a position on while callers request them. Only a process that receives calls on
+// a job reads it, and it reads it once for all its callers.
 type reader struct {
 	entry job.Entry
 	// base is the position of the first result that is read.
 	base     int
 	ledger   *job.Ledger
 	follower *follow.Follower
-	// read counts what the follower has read.
-	read   *measuredLog
-	cancel context.CancelFunc
-	// asked is when the last call came, waiting counts the calls that wait for the reader to be in step.
-	asked   time.Time
-	waiting int
-	// returning says that callers come back to this process, so that the reader is kept between their calls.
-	returning bool
-	// missed has it logged once that results are missing.
-	missed sync.Once
-	// complete is closed once all results are here that there will ever be.
+	// readLog counts the records and bytes that the follower has read.
+	readLog *countingLog
+	cancel  context.CancelFunc
+	// lastCall is the time of the last call. waiting counts the calls that wait until the reader has caught up.
+	lastCall time.Time
+	waiting  int
+	// sticky reports that callers return to this process, so that the reader is kept between their calls.
+	sticky bool
+	// logMissingOnce limits the log line about missing results to one.
+	logMissingOnce sync.Once
+	// complete is closed once the reader has all results that the job will ever have.
 	complete chan struct{}
-	// ended is closed once the follower has ended; before is that of the parked reader that this one goes on for, nil for none.
-	ended  chan struct{}
-	before chan struct{}
+	// stopped is closed once the follower has stopped. predecessor is the stopped channel of the parked reader that this one
+	// resumes, nil if there is none.
+	stopped     chan struct{}
+	predecessor chan struct{}
 }
 
-// jobApplier takes the records of one job of a kind.
+// jobApplier applies those records of one job whose keys match.
 type jobApplier struct {
-	id     string
-	ledger *job.Ledger
-	wanted func(key, jobID string) bool
-	failed func(record keyedlog.Record, err error)
+	id      string
+	ledger  *job.Ledger
+	matches func(key, jobID string) bool
+	onError func(record keyedlog.Record, err error)
 }
 
 func (a *jobApplier) Apply(record keyedlog.Record, _ bool) {
-	if !a.wanted(record.Key, a.id) || record.Value == nil {
+	if !a.matches(record.Key, a.id) || record.Value == nil {
 		return
 	}
-	if err := a.ledger.Apply(record); err != nil && a.failed != nil {
-		a.failed(record, err)
+	if err := a.ledger.Apply(record); err != nil && a.onError != nil {
+		a.onError(record, err)
 	}
 }
 
@@ -83,21 +85,21 @@
 	return keyedlog.Partition{Topic: keyedlog.TopicJobs, Number: entry.Partition}
 }
 
-// reader returns the reader of a job that has its results from a position on, starting one if there is none.
+// reader returns the reader of a job that covers its results from a position on, and starts one if there is none.
 func (s *Service) reader(status job.Status, from int) *reader {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	id := status.Entry.JobID
 	if found, ok := s.readers[id]; ok && found.base <= from {
-		found.asked = time.Now()
+		found.lastCall = time.Now()
 		found.waiting++
 		return found
 	}
-	// One that begins behind the position ends with its last caller.
+	// A reader that starts after the position is stopped once its last caller has left.
 	if found, ok := s.readers[id]; ok && found.waiting == 0 {
 		found.cancel()
 	}
-	// A parked reader that was in step after all has stood still since.
+	// A parked reader that caught up in the end was stopped, so its results may be out of date.
 	started, ok := s.parked[id]
 	if ok && started.entry == status.Entry && started.base <= from && !started.follower.CaughtUp() {
 		started = started.resumed()
@@ -107,27 +109,27 @@
 	delete(s.parked, id)
 	ctx, cancel := context.WithCancel(s.ctx)
 	started.cancel, started.waiting = cancel, 1
-	_, started.returning = s.recent[id]
+	_, started.sticky = s.recentJobs[id]
 	s.readers[id] = started
-	s.reading.Go(func() { s.read(ctx, started) })
+	s.reading.Go(func() { s.run(ctx, started) })
 	return started
 }
 
-// newReader returns a reader of the results from a position on that has read nothing yet.
+// newReader returns a reader of the results from a position on that has not read anything yet.
 func (s *Service) newReader(status job.Status, from int) *reader {
 	id, ledger := status.Entry.JobID, job.NewLedger(s.config.Index, status.Entry.Partition)
-	ledger.Begin(id, from)
-	size, read := 0, &measuredLog{Log: s.config.Log}
+	ledger.StartAt(id, from)
+	size, readLog := 0, &countingLog{Log: s.config.Log}
 	if status.Settled {
-		size = settledBytes
+		size = settledReadBytes
 	}
 	return &reader{
-		entry: status.Entry, base: from, ledger: ledger, read: read, asked: time.Now(),
-		complete: make(chan struct{}), ended: make(chan struct{}),
+		entry: status.Entry, base: from, ledger: ledger, readLog: readLog, lastCall: time.Now(),
+		complete: make(chan struct{}), stopped: make(chan struct{}),
 		follower: follow.New(follow.Config{
-			Log: read, Partition: partitionOf(status.Entry), From: startOf(status, from), Wait: readWait, Spacing: readSpacing,
-			Bytes: size, Prefix: job.ResultPrefix(id), After: job.ResultsFrom(id, from),
-			Applier: &jobApplier{id: id, ledger: ledger, wanted: job.IsResult, failed: func(record keyedlog.Record, err error) {
+			Log: readLog, Partition: partitionOf(status.Entry), From: startOffset(status, from), Wait: longPollTimeout, Spacing: minReadInterval,
+			Bytes: size, Prefix: job.ResultPrefix(id), After: job.ResultsAfterKey(id, from),
+			Applier: &jobApplier{id: id, ledger: ledger, matches: job.IsResultKey, onError: func(record keyedlog.Record, err error) {
 				errorlog.Warn(s.config.Logger, "result skipped", err, "job", id, "key", record.Key)
 			}},
 			Logger: s.config.Logger,
@@ -135,34 +137,35 @@
 	}
 }
 
-// resumed returns a reader that goes on where a parked one was.
+// resumed returns a reader that continues where a parked one stopped.
 func (r *reader) resumed() *reader {
 	return &reader{
-		entry: r.entry, base: r.base, ledger: r.ledger, read: r.read, follower: r.follower, before: r.ended, asked: time.Now(),
-		complete: make(chan struct{}), ended: make(chan struct{}),
+		entry: r.entry, base: r.base, ledger: r.ledger, readLog: r.readLog, follower: r.follower, predecessor: r.stopped, lastCall: time.Now(),
+		complete: make(chan struct{}), stopped: make(chan struct{}),
 	}
 }
 
-// startOf returns where the reading of a job from a position on begins: with the newest records, 0, unless there is little behind its
-// submission.
-func startOf(status job.Status, from int) int64 {
-	if from > 0 || status.Settled || time.Since(status.AcceptedAt) > freshFor {
+// startOffset returns the offset at which reading a job's results from a position on starts: 0, which reads the newest
+// record of each key, unless few records follow the job's submission.
+func startOffset(status job.Status, from int) int64 {
+	if from > 0 || status.Settled || time.Since(status.AcceptedAt) > freshWindow {
 		return 0
 	}
 	return status.Entry.Next
 }
 
-// left records that a call no longer waits for the reader; err is that of the call. A reader that nobody waits for ends at once, unless its
-// callers come back to this process: it would go on reading all that is appended to the partition, for callers that ask elsewhere. What a
-// reader has read that was given up before it was in step is kept for a moment, for the next call on a job that takes longer to read than
-// one call waits.
-func (s *Service) left(r *reader, err error) {
+// release records that a call no longer waits for the reader; err is the call's error. A reader without waiting calls is
+// stopped at once unless its callers return to this process: it would keep reading everything that is appended to the
+// partition, for callers that send their next call to another process. What a reader has read is kept for a short time if it
+// was abandoned before it caught up, so that a job that takes longer to read than one call waits can be read over several
+// calls.
+func (s *Service) release(r *reader, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	r.waiting--
 	id := r.entry.JobID
 	current := s.readers[id] == r
-	if r.waiting > 0 || current && err == nil && r.returning {
+	if r.waiting > 0 || current && err == nil && r.sticky {
 		return
 	}
 	r.cancel()
@@ -174,27 +177,27 @@
 		s.park(r)
 		return
 	}
-	s.expectBack(id)
+	s.markRecent(id)
 }
 
-// expectBack remembers for backWithin that a job was asked for. The mutex must be held.
-func (s *Service) expectBack(id string) {
-	if known, ok := s.recent[id]; ok {
-		known.Reset(backWithin)
+// markRecent records for returnWindow that a call on a job was received. The mutex must be held.
+func (s *Service) markRecent(id string) {
+	if known, ok := s.recentJobs[id]; ok {
+		known.Reset(returnWindow)
 		return
 	}
-	s.recent[id] = time.AfterFunc(backWithin, func() {
+	s.recentJobs[id] = time.AfterFunc(returnWindow, func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		delete(s.recent, id)
+		delete(s.recentJobs, id)
 	})
 }
 
-// park keeps what a reader has read. The mutex must be held.
+// park keeps a stopped reader for parkedTimeout. The mutex must be held.
 func (s *Service) park(r *reader) {
 	id := r.entry.JobID
 	s.parked[id] = r
-	time.AfterFunc(parkedFor, func() {
+	time.AfterFunc(parkedTimeout, func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		if s.parked[id] == r {
@@ -203,11 +206,11 @@
 	})
 }
 
-// read follows a job until all its results are here, and keeps them until nobody has asked for long.
-func (s *Service) read(ctx context.Context, r *reader) {
+// run follows a job until it has all its results, and keeps them until the reader is idle.
+func (s *Service) run(ctx context.Context, r *reader) {
 	defer r.cancel()
-	s.reading.Go(func() { s.untilSettled(ctx, r) })
-	ticker := time.NewTicker(idleLook)
+	s.reading.Go(func() { s.followUntilSettled(ctx, r) })
+	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -224,7 +227,7 @@
 func (s *Service) dropIdle(r *reader) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if r.waiting > 0 || time.Since(r.asked) < idleAfter {
+	if r.waiting > 0 || time.Since(r.lastCall) < idleTimeout {
 		return false
 	}
 	if s.readers[r.entry.JobID] == r {
@@ -233,14 +236,14 @@
 	return true
 }
 
-// untilSettled follows a job's partition until nothing more is listed of it.
-func (s *Service) untilSettled(ctx context.Context, r *reader) {
+// followUntilSettled follows a job's partition until no more results of the job can be listed.
+func (s *Service) followUntilSettled(ctx context.Context, r *reader) {
 	followCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.reading.Go(func() {
-		defer close(r.ended)
-		if r.before != nil {
-			<-r.before
+		defer close(r.stopped)
+		if r.predecessor != nil {
+			<-r.predecessor
 		}
 		r.follower.Run(followCtx)
 	})
@@ -260,32 +263,33 @@
 	}
 }
 
-// ready waits until the reader can answer a call from a position on: it has read all that was listed when it was started, or results of
-// more than limit bytes.
-func (r *reader) ready(ctx context.Context, from, limit int) error {
+// waitReady waits until the reader can answer a call from a position on: until it has read everything that was listed when
+// it was started, or has results of more than limit bytes.
+func (r *reader) waitReady(ctx context.Context, from, limit int) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stepped := make(chan error, 1)
-	go func() { stepped <- r.inStep(ctx) }()
+	caughtUp := make(chan error, 1)
+	go func() { caughtUp <- r.waitCaughtUp(ctx) }()
 	for {
-		fills, changed := r.ledger.Fills(r.entry.JobID, from, limit)
-		if fills {
+		full, changed := r.ledger.ResultsExceed(r.entry.JobID, from, limit)
+		if full {
 			return nil
 		}
 		select {
-		case err := <-stepped:
+		case err := <-caughtUp:
 			return err
 		case <-changed:
 		}
 	}
 }
 
-// awaitResult waits until a result from a position on is listed or no more can be, for at most a time or until the context ends.
-func (r *reader) awaitResult(ctx context.Context, from int, most time.Duration) {
-	if most <= 0 {
+// waitResult waits until a result at or after a position is listed or no more can be, for at most maxWait or until the
+// context ends.
+func (r *reader) waitResult(ctx context.Context, from int, maxWait time.Duration) {
+	if maxWait <= 0 {
 		return
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
 		listed, changed := r.ledger.Listed(r.entry.JobID)
@@ -302,8 +306,8 @@
 	}
 }
 
-// inStep waits until everything has been read that was listed when the reader was started, or the context ends.
-func (r *reader) inStep(ctx context.Context) error {
+// waitCaughtUp waits until everything that was listed when the reader was started has been read, or the context ends.
+func (r *reader) waitCaughtUp(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
--- a/internal/jobs/reader_test.go
+++ b/internal/jobs/reader_test.go
@@ -15,7 +15,7 @@
 	"github.com/matryer/is"
 )
 
-// settle ends the listing of a job as its owner does.
+// settle records that no more results of a job are listed, as its owner does.
 func settle(t *testing.T, store *memorylog.Store, id string) {
 	t.Helper()
 	appended, err := store.For("owner").Append(
@@ -32,7 +32,7 @@
 	}
 }
 
-// countReads counts the reads of jobs' partitions by one caller.
+// countReads counts the reads of job partitions by one caller.
 func countReads(store *memorylog.Store, caller string, count *atomic.Int32) {
 	store.SetRule(func(call memorylog.Call) memorylog.Fault {
 		if call.Caller == caller && call.Partition.Topic == keyedlog.TopicJobs && call.Operation != "append" {
@@ -42,9 +42,9 @@
 	})
 }
 
-// TestNobodyReadsWhatNobodyAsksFor checks that a node reads nothing of a job before it is asked, reads it while it is, and
-// stops some seconds after.
-func TestNobodyReadsWhatNobodyAsksFor(t *testing.T) {
+// TestJobReadOnlyWhileRequested checks that a node reads nothing of a job before it receives a call on it, reads it while
+// calls come, and stops a few seconds after the last one.
+func TestJobReadOnlyWhileRequested(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
@@ -52,7 +52,7 @@
 		var reads atomic.Int32
 		countReads(store, "other", &reads)
 		is.Equal(gateway.service.Submit(t.Context(), spec("one")), jobs.Done)
-		list(t, store, "one", 0, "i1")
+		listResult(t, store, "one", 0, "i1")
 		time.Sleep(10 * time.Second)
 		is.Equal(reads.Load(), int32(0))
 
@@ -65,28 +65,29 @@
 		time.Sleep(10 * time.Second)
 		is.Equal(reads.Load(), before)
 
-		list(t, store, "one", 1, "i2")
+		listResult(t, store, "one", 1, "i2")
 		listing, outcome = other.service.Results(t.Context(), "one", 0, 0)
 		is.Equal(outcome, jobs.Done)
 		is.Equal(listing.Next, 2)
 	})
 }
 
-// TestASettledJobIsReadNoFurther checks that the results of a settled job are read up to the last one, however much lies behind.
-func TestASettledJobIsReadNoFurther(t *testing.T) {
+// TestSettledJobReadUpToLastResult checks that a settled job is read up to its last result only, however many records
+// follow.
+func TestSettledJobReadUpToLastResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		// Reads take time, so that the reader learns of each before it begins the next.
+		// Reads take some time, so that the reader processes the result of each before it starts the next.
 		store := memorylog.New(memorylog.Config{Partitions: partitions, Delay: 5 * time.Millisecond})
 		gateway, other := newNode(t, store, "gateway"), newNode(t, store, "other")
 		is.Equal(gateway.service.Submit(t.Context(), spec("one")), jobs.Done)
-		list(t, store, "one", 0, "i1")
+		listResult(t, store, "one", 0, "i1")
 		is.Equal(gateway.service.End(t.Context(), "one"), jobs.Done)
 		settle(t, store, "one")
 		for i := range 40 {
 			later := spec(fmt.Sprint("later", i))
-			for place := range later.Items {
-				later.Items[place].Body = make([]byte, 50<<10)
+			for index := range later.Items {
+				later.Items[index].Body = make([]byte, 50<<10)
 			}
 			is.Equal(gateway.service.Submit(t.Context(), later), jobs.Done)
 		}
@@ -101,15 +102,15 @@
 	})
 }
 
-// TestAJobThatIsSettledWhileItIsReadAnswers checks that a reader which has all results, but not all that lies behind them,
-// answers.
-func TestAJobThatIsSettledWhileItIsReadAnswers(t *testing.T) {
+// TestJobSettlesDuringRead checks that a reader that has all results of a job answers although it has not read everything
+// that was appended after them.
+func TestJobSettlesDuringRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
 		gateway, other := newNode(t, store, "gateway"), newNode(t, store, "other")
 		is.Equal(gateway.service.Submit(t.Context(), spec("one")), jobs.Done)
-		list(t, store, "one", 0, "i1")
+		listResult(t, store, "one", 0, "i1")
 		store.SetRule(func(call memorylog.Call) memorylog.Fault {
 			if call.Caller == "other" && call.Partition.Topic == keyedlog.TopicJobs {
 				return memorylog.Down
@@ -131,16 +132,16 @@
 	})
 }
 
-// TestReadsAfterTheStoreHasForgotten checks that results and bodies are read from the newest record of each key where the
-// store has dropped its history.
-func TestReadsAfterTheStoreHasForgotten(t *testing.T) {
+// TestReadsAfterStoreTrim checks that results and bodies are read from the newest record of each key if the store has
+// dropped its history.
+func TestReadsAfterStoreTrim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
 		gateway := newNode(t, store, "gateway")
 		is.Equal(gateway.service.Submit(t.Context(), spec("one")), jobs.Done)
-		list(t, store, "one", 0, "i1")
-		list(t, store, "one", 1, "i3")
+		listResult(t, store, "one", 0, "i1")
+		listResult(t, store, "one", 1, "i3")
 		is.Equal(gateway.service.End(t.Context(), "one"), jobs.Done)
 		settle(t, store, "one")
 		store.Forget()
@@ -154,16 +155,16 @@
 	})
 }
 
-// TestABodyCostsTwoReads checks that the body of an item is read without the other items, and that a submission whose records
-// don't lie one after another gives its bodies too.
-func TestABodyCostsTwoReads(t *testing.T) {
+// TestBodyTakesTwoReads checks that the body of an item is read without the other items, and that bodies are also found in a
+// submission whose records are not contiguous.
+func TestBodyTakesTwoReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
 		gateway := newNode(t, store, "gateway")
 		small := spec("one")
-		for place := range small.Items {
-			small.Items[place].Body = make([]byte, 20+place)
+		for index := range small.Items {
+			small.Items[index].Body = make([]byte, 20+index)
 		}
 		is.Equal(gateway.service.Submit(t.Context(), small), jobs.Done)
 		is.Equal(gateway.service.Submit(t.Context(), spec("parts")), jobs.Done)
@@ -174,22 +175,22 @@
 		is.Equal(outcome, jobs.Done)
 		is.Equal(len(body), 22)
 		is.Equal(reads.Load(), int32(2))
-		// Its items are too large for a record and lie in parts.
+		// The items of this job are too large for one record and are split into parts.
 		body, outcome = gateway.service.Body(t.Context(), "parts", "i3")
 		is.Equal(outcome, jobs.Done)
 		is.Equal(len(body), 500)
 	})
 }
 
-// TestAReaderThatIsGivenUpReadsNoFurther checks that a node stops reading a job once its only caller has left before the node
-// was in step, and reads it again for the next caller.
-func TestAReaderThatIsGivenUpReadsNoFurther(t *testing.T) {
+// TestAbandonedReaderStops checks that a node stops reading a job once its only caller has left before the reader caught up,
+// and reads it again for the next caller.
+func TestAbandonedReaderStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
 		gateway, other := newNode(t, store, "gateway"), newNode(t, store, "other")
 		is.Equal(gateway.service.Submit(t.Context(), spec("one")), jobs.Done)
-		list(t, store, "one", 0, "i1")
+		listResult(t, store, "one", 0, "i1")
 		var reads atomic.Int32
 		store.SetRule(func(call memorylog.Call) memorylog.Fault {
 			if call.Caller == "other" && call.Partition.Topic == keyedlog.TopicJobs {
@@ -214,11 +215,11 @@
 	})
 }
 
-// TestAJobIsReadAloneAfterTheStoreHasForgotten has the store drop its history while a partition holds many other jobs. Of a job that is asked
-// for, a node then read the newest record of every key of the partition, for its results and for each body: some 10 MB after half a
-// minute of four trainers, more than a call waits for on a thin link.
-func TestAJobIsReadAloneAfterTheStoreHasForgotten(t *testing.T) {
-	const others, pagesMost = 40, 3
+// TestReadAfterStoreTrimSkipsOtherJobs has the store drop its history while a partition contains many other jobs. Without
+// prefix reads, a node read the newest record of every key of the partition, for the results of a job and for each body:
+// some 10 MB after half a minute of four trainers, which takes longer than a call waits on a slow link.
+func TestReadAfterStoreTrimSkipsOtherJobs(t *testing.T) {
+	const others, maxPages = 40, 3
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
@@ -226,11 +227,11 @@
 		for number := range others {
 			id := fmt.Sprintf("other%02d", number)
 			is.Equal(gateway.service.Submit(t.Context(), spec(id)), jobs.Done)
-			list(t, store, id, 0, "i1")
+			listResult(t, store, id, 0, "i1")
 		}
 		is.Equal(gateway.service.Submit(t.Context(), spec("one")), jobs.Done)
-		list(t, store, "one", 0, "i1")
-		list(t, store, "one", 1, "i3")
+		listResult(t, store, "one", 0, "i1")
+		listResult(t, store, "one", 1, "i3")
 		settle(t, store, "one")
 		store.Forget()
 		other := newNode(t, store, "other")
@@ -240,14 +241,14 @@
 		listing, outcome := other.service.Results(t.Context(), "one", 0, 0)
 		is.Equal(outcome, jobs.Done)
 		is.Equal(listing.Next, 2)
-		// One read says that the history is gone, and one that nothing follows.
-		is.True(reads.Load() <= pagesMost+2)
+		// One read reports that the history is gone, and one that nothing follows.
+		is.True(reads.Load() <= maxPages+2)
 		reads.Store(0)
 		body, outcome := other.service.Body(t.Context(), "one", "i2")
 		is.Equal(outcome, jobs.Done)
 		is.Equal(len(body), 500)
-		// The submission lies under two prefixes, three records to a page.
-		is.True(reads.Load() <= pagesMost+4)
+		// The submission has keys under two prefixes, with three records to a page.
+		is.True(reads.Load() <= maxPages+4)
 		_, outcome = other.service.Body(t.Context(), "one", "none")
 		is.Equal(outcome, jobs.NotFound)
 	})
--- a/internal/jobs/thinlink_test.go
+++ b/internal/jobs/thinlink_test.go
@@ -14,15 +14,15 @@
 	"github.com/hillfork/hillfork/internal/keyedlog"
 )
 
-// thinLink is a store behind a link on which answers take their time, one after another.
-type thinLink struct {
+// slowLink is a store behind a link of limited bandwidth that transfers one answer at a time.
+type slowLink struct {
 	keyedlog.Log
-	bytesPerS float64
-	turn      chan struct{}
+	bytesPerSecond float64
+	busy           chan struct{}
 }
 
-// Read reads, and lets the answer take its time on the link.
-func (l *thinLink) Read(ctx context.Context, partition keyedlog.Partition, span keyedlog.Span) (keyedlog.Batch, error) {
+// Read reads records and waits for their transfer over the link.
+func (l *slowLink) Read(ctx context.Context, partition keyedlog.Partition, span keyedlog.Span) (keyedlog.Batch, error) {
 	if span.Bytes == 0 {
 		span.Bytes = 1 << 20
 	}
@@ -30,42 +30,43 @@
 	if err != nil {
 		return batch, err
 	}
-	return batch, l.pass(ctx, batch.Records)
+	return batch, l.transfer(ctx, batch.Records)
 }
 
-// Newest reads a page, and lets it take its time on the link.
-func (l *thinLink) Newest(ctx context.Context, partition keyedlog.Partition, afterKey string) (keyedlog.Page, error) {
+// Newest reads a page and waits for its transfer over the link.
+func (l *slowLink) Newest(ctx context.Context, partition keyedlog.Partition, afterKey string) (keyedlog.Page, error) {
 	page, err := l.Log.Newest(ctx, partition, afterKey)
 	if err != nil {
 		return page, err
 	}
-	return page, l.pass(ctx, page.Records)
+	return page, l.transfer(ctx, page.Records)
 }
 
-// pass waits until records have come over the link.
-func (l *thinLink) pass(ctx context.Context, records []keyedlog.Record) error {
+// transfer waits until records have been transferred over the link.
+func (l *slowLink) transfer(ctx context.Context, records []keyedlog.Record) error {
 	select {
-	case l.turn <- struct{}{}:
-		defer func() { <-l.turn }()
+	case l.busy <- struct{}{}:
+		defer func() { <-l.busy }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	select {
-	case <-time.After(time.Duration(float64(job.Size(records)) / l.bytesPerS * float64(time.Second))):
+	case <-time.After(time.Duration(float64(job.Size(records)) / l.bytesPerSecond * float64(time.Second))):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// shape is how large a job is: the bytes of its results and of what lies between them, and whether it is settled or lacks its last result.
-type shape struct {
-	own, others int
-	whole       bool
+// jobShape is the size of a job: the bytes of its results and of the records of other jobs between them, and whether the job
+// is settled or lacks its last result.
+type jobShape struct {
+	resultBytes, otherBytes int
+	complete                bool
 }
 
 // largeJob submits a job of a model and lists its results.
-func largeJob(t *testing.T, store keyedlog.Log, gateway *node, model string, size shape) job.Spec {
+func largeJob(t *testing.T, store keyedlog.Log, gateway *node, model string, size jobShape) job.Spec {
 	t.Helper()
 	const recordBytes = 100 << 10
 	large := spec("job of " + model)
@@ -76,18 +77,18 @@
 	partition := job.PartitionOf(large, partitions, nil)
 	var end int64
 	listed := large.Items
-	if !size.whole {
+	if !size.complete {
 		listed = listed[:len(listed)-1]
 	}
 	random := rand.New(rand.NewPCG(1, 1))
-	for place, item := range listed {
-		text := make([]byte, size.own/len(large.Items))
+	for position, item := range listed {
+		text := make([]byte, size.resultBytes/len(large.Items))
 		for i := range text {
 			text[i] = byte(random.Uint32())
 		}
-		records, err := job.EncodeResult(large.ID, place, job.Result{ItemID: item.ID, Text: string(text)}, 1<<18)
-		for number := range size.others / len(large.Items) / recordBytes {
-			records = append(records, keyedlog.Record{Key: fmt.Sprintf("p/%s/%d/%d", large.ID, place, number), Value: make([]byte, recordBytes)})
+		records, err := job.EncodeResult(large.ID, position, job.Result{ItemID: item.ID, Text: string(text)}, 1<<18)
+		for number := range size.otherBytes / len(large.Items) / recordBytes {
+			records = append(records, keyedlog.Record{Key: fmt.Sprintf("p/%s/%d/%d", large.ID, position, number), Value: make([]byte, recordBytes)})
 		}
 		if err == nil {
 			var appended keyedlog.Appended
@@ -98,7 +99,7 @@
 			t.Fatal(err)
 		}
 	}
-	if !size.whole {
+	if !size.complete {
 		return large
 	}
 	settled, err := job.EncodeSettled(large.ID, end, job.Took{})
@@ -111,66 +112,66 @@
 	return large
 }
 
-// TestLargeJobsAreReadOverAThinLink has two jobs of 8 MB read at once over a link of 60 Mbit/s. A caller waits for 2 s and comes again. What
-// the node had read was forgotten whenever it was not done by then, so that it began anew for each call: after twenty calls in 50 s
-// neither had been read.
-func TestLargeJobsAreReadOverAThinLink(t *testing.T) {
+// TestLargeJobsReadOverSlowLink reads two jobs of 8 MB at the same time over a link of 60 Mbit/s. A caller waits for 2 s and
+// retries. If the node discards what it has read whenever a call times out, it starts over for each call: after twenty calls
+// in 50 s neither job had been read.
+func TestLargeJobsReadOverSlowLink(t *testing.T) {
 	const (
-		size      = 8 << 20
-		patience  = 2 * time.Second
-		again     = 500 * time.Millisecond
-		bytesPerS = 7.5e6
-		triesMost = 4
+		size           = 8 << 20
+		callTimeout    = 2 * time.Second
+		retryInterval  = 500 * time.Millisecond
+		bytesPerSecond = 7.5e6
+		maxCalls       = 4
 	)
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
 		gateway := newNode(t, store, "gateway")
-		first := largeJob(t, store.For("owner"), gateway, "first", shape{own: size, whole: true})
-		second := largeJob(t, store.For("owner"), gateway, "second", shape{own: size, whole: true})
-		thin := newNodeOver(t, &thinLink{Log: store.For("thin"), bytesPerS: bytesPerS, turn: make(chan struct{}, 1)})
+		first := largeJob(t, store.For("owner"), gateway, "first", jobShape{resultBytes: size, complete: true})
+		second := largeJob(t, store.For("owner"), gateway, "second", jobShape{resultBytes: size, complete: true})
+		slow := newNodeWithLog(t, &slowLink{Log: store.For("thin"), bytesPerSecond: bytesPerSecond, busy: make(chan struct{}, 1)})
 		time.Sleep(time.Second)
-		var asking sync.WaitGroup
-		for _, asked := range []job.Spec{first, second} {
-			asking.Go(func() {
-				for range triesMost {
-					ctx, cancel := context.WithTimeout(t.Context(), patience)
-					listing, outcome := thin.service.Results(ctx, asked.ID, 0, 0)
+		var callers sync.WaitGroup
+		for _, requested := range []job.Spec{first, second} {
+			callers.Go(func() {
+				for range maxCalls {
+					ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
+					listing, outcome := slow.service.Results(ctx, requested.ID, 0, 0)
 					cancel()
 					if outcome == jobs.Done {
-						// A listing has 1 MB at most.
-						if len(listing.Results) == 0 || listing.Total != len(asked.Items) {
-							t.Errorf("%s: %d of %d results", asked.ID, len(listing.Results), listing.Total)
+						// A listing has at most 1 MB.
+						if len(listing.Results) == 0 || listing.Total != len(requested.Items) {
+							t.Errorf("%s: %d of %d results", requested.ID, len(listing.Results), listing.Total)
 						}
 						return
 					}
-					time.Sleep(again)
+					time.Sleep(retryInterval)
 				}
-				t.Errorf("%s was not read in %d calls", asked.ID, triesMost)
+				t.Errorf("%s was not read in %d calls", requested.ID, maxCalls)
 			})
 		}
-		asking.Wait()
+		callers.Wait()
 	})
 }
 
-// TestAJobIsReadWithoutWhatLiesBetweenItsResults has a settled job and one that runs on read over a link of 60 Mbit/s, each with 8 MB of others between
-// its results. A node read all that lay between: on the grown deployment half a second to a second for a job, with no time of a processor
-// counted, of the 2 s that a call has.
-func TestAJobIsReadWithoutWhatLiesBetweenItsResults(t *testing.T) {
+// TestReadSkipsOtherJobsBetweenResults reads a settled job and a running one over a link of 60 Mbit/s, each with 8 MB of
+// other jobs' records between its results. A node that reads all of these takes half a second to a second per job on a large
+// deployment, without CPU time, of the 2 s that a call has.
+func TestReadSkipsOtherJobsBetweenResults(t *testing.T) {
 	const (
-		size      = 8 << 20
-		bytesPerS = 7.5e6
-		allowed   = 300 * time.Millisecond
+		size           = 8 << 20
+		bytesPerSecond = 7.5e6
+		limit          = 300 * time.Millisecond
 	)
 	for _, settled := range []bool{true, false} {
 		t.Run(fmt.Sprint("settled ", settled), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := newStore()
 				gateway := newNode(t, store, "gateway")
-				large := largeJob(t, store.For("owner"), gateway, "first", shape{others: size, whole: settled})
-				thin := newNodeOver(t, &thinLink{Log: store.For("thin"), bytesPerS: bytesPerS, turn: make(chan struct{}, 1)})
+				large := largeJob(t, store.For("owner"), gateway, "first", jobShape{otherBytes: size, complete: settled})
+				slow := newNodeWithLog(t, &slowLink{Log: store.For("thin"), bytesPerSecond: bytesPerSecond, busy: make(chan struct{}, 1)})
 				time.Sleep(3 * time.Second)
-				began := time.Now()
-				listing, outcome := thin.service.Results(t.Context(), large.ID, 0, 0)
+				started := time.Now()
+				listing, outcome := slow.service.Results(t.Context(), large.ID, 0, 0)
 				want := len(large.Items)
 				if !settled {
 					want--
@@ -178,13 +179,13 @@
 				if outcome != jobs.Done || len(listing.Results) != want {
 					t.Errorf("%v, %d results", outcome, len(listing.Results))
 				}
-				if took := time.Since(began); took > allowed {
-					t.Errorf("read in %v", took)
+				if elapsed := time.Since(started); elapsed > limit {
+					t.Errorf("read in %v", elapsed)
 				}
 				if settled {
 					return
 				}
-				// What is listed from now on is read as it comes.
+				// Results that are listed from now on are read as they are appended.
 				records, err := job.EncodeResult(large.ID, want, job.Result{ItemID: large.Items[want].ID, Text: "text"}, 1<<18)
 				if err == nil {
 					_, err = store.For("owner").Append(t.Context(), job.PartitionOf(large, partitions, nil), records, nil)
@@ -192,7 +193,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				listing, _ = thin.service.Results(t.Context(), large.ID, want, time.Second)
+				listing, _ = slow.service.Results(t.Context(), large.ID, want, time.Second)
 				if len(listing.Results) != 1 {
 					t.Errorf("%d later results", len(listing.Results))
 				}
