--- a/internal/quarantine/admit.go
+++ b/internal/quarantine/admit.go
@@ -12,19 +12,20 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// claimTimeout bounds a claim to a trial; a caller waits for it.
+// claimTimeout limits the duration of a claim to a trial; a caller waits for it.
 const claimTimeout = 300 * time.Millisecond
 
-// Standing says how a request stands.
+// Standing is the state of a request with regard to the quarantine.
 type Standing int
 
 // Standings of a request.
 const (
-	// Clear says that nothing speaks against it.
+	// Clear means that no engine is known to have ended while it ran the request.
 	Clear Standing = iota
-	// Suspect says that an engine has ended under it, or may have: it is to be sent to one engine at a time.
+	// Suspect means that an engine has ended, or may have ended, while it ran the request: the request must be sent to one
+	// engine at a time.
 	Suspect
-	// Withheld says that it is not to be sent.
+	// Withheld means that the request must not be sent.
 	Withheld
 )
 
@@ -35,8 +36,8 @@
 	return standingNames[s]
 }
 
-// Admit tells whether a call may be sent, and for how long it is withheld if not. Strikes is how many ends it takes. A call that is
-// admitted for a trial is sent to one engine.
+// Admit reports whether a call may be sent, and if it is withheld, for how long. strikes is the number of ended engines from
+// which on a request is withheld. A call that is admitted as a trial must be sent to one engine only.
 func (q *Quarantine) Admit(ctx context.Context, call engineapi.Call, strikes int) (Standing, time.Duration) {
 	if q == nil || q.Contents() == 0 {
 		return Clear, 0
@@ -54,7 +55,7 @@
 	case access == policy.AccessTrial && q.claim(ctx, content, crashes.Trials+1, call.RequestID):
 		return Suspect, 0
 	case access == policy.AccessTrial:
-		// Another one makes it, or nobody can ask for it while the store is away.
+		// Another call makes the trial, or it can't be claimed while the store is unavailable.
 		wait = policy.TrialLasts
 	}
 	return Withheld, wait
@@ -72,8 +73,8 @@
 	}
 }
 
-// claim asks for a trial. It returns whether this claim is the first in the log. Of the calls of one content that come meanwhile none asks
-// too. A claim of whose fate nothing was learned may be the first all the same; then the trial is for the next call.
+// claim claims a trial, and reports whether this claim is the first in the log. Only one call of a content claims a trial at
+// a time. A claim whose append got no answer may still be the first; the next call then makes the trial.
 func (q *Quarantine) claim(ctx context.Context, content Content, trial int, requestID string) bool {
 	if !q.beginClaim(content) {
 		return false
@@ -82,7 +83,7 @@
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	key := eventKey{content: content, trial: trial, claim: q.config.Machine + "#" + strconv.FormatUint(rand.Uint64(), 36)}
-	q.note(key)
+	q.addOwnClaim(key)
 	appended, err := q.config.Log.Append(ctx, keyedlog.Crashes, []keyedlog.Record{q.record(key)}, nil)
 	if err == nil {
 		err = q.follower.WaitUntil(ctx, appended.Offset+1)
@@ -111,24 +112,25 @@
 	delete(q.claims, content)
 }
 
-// note remembers a claim as this process's own.
-func (q *Quarantine) note(key eventKey) {
+// addOwnClaim records a claim as made by this process.
+func (q *Quarantine) addOwnClaim(key eventKey) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if known, ok := q.histories[key.content]; ok {
-		known.own[key.claim] = true
+		known.ownClaims[key.claim] = true
 	}
 }
 
-// takeTrial tells whether the last trial of a content is this process's and was not made yet, and takes it.
+// takeTrial reports whether the last trial of a content belongs to this process and has not been made yet, and marks it as
+// made.
 func (q *Quarantine) takeTrial(content Content) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	known, ok := q.histories[content]
-	return ok && known.take()
+	return ok && known.startTrial()
 }
 
-// NotRun takes that a call that was admitted has reached no engine that ran it: if it was a trial, that was not made.
+// NotRun reports that an admitted call was not run by any engine: if the call was a trial, the trial has not been made.
 func (q *Quarantine) NotRun(call engineapi.Call) {
 	if q == nil || q.Contents() == 0 {
 		return
@@ -137,6 +139,6 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if known, ok := q.histories[content]; ok {
-		known.giveBack()
+		known.returnTrial()
 	}
 }
--- a/internal/quarantine/forget.go
+++ b/internal/quarantine/forget.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// contentsMost bounds the contents that are remembered, some 200 bytes each. The ones that were quiet longest give way.
-	contentsMost = 4096
-	// forgetMost bounds the contents that are dropped with one append.
-	forgetMost = 64
+	// maxContents limits the number of contents in memory, some 200 bytes each. The contents without an event for the
+	// longest time are removed first.
+	maxContents = 4096
+	// maxForgetPerAppend limits the number of contents that are dropped with one append.
+	maxForgetPerAppend = 64
 )
 
-// Answered takes that an engine ran a call to its end: its content crashes no engines.
+// Answered reports that an engine ran a call to completion: its content does not crash engines.
 func (q *Quarantine) Answered(call engineapi.Call) {
-	if q == nil || q.quiet() {
+	if q == nil || q.idle() {
 		return
 	}
 	content := ContentOf(call)
 	q.mutex.Lock()
-	q.silences = slices.DeleteFunc(q.silences, func(s silence) bool { return s.content == content })
+	q.silentCalls = slices.DeleteFunc(q.silentCalls, func(s silentCall) bool { return s.content == content })
 	known, ok := q.histories[content]
 	if !ok {
 		q.mutex.Unlock()
@@ -33,34 +34,34 @@
 	q.mutex.Unlock()
 	q.config.Logger.Info("content cleared, an engine answered it", "request", call.RequestID, "content", content,
 		"engines_ended", len(known.ended))
-	q.writer.put(drops(known.keys(content))...)
+	q.writer.enqueue(tombstones(known.keys(content))...)
 }
 
-// forget returns records that drop some of what is too old to count, and the quietest content if there are too many. The mutex must be
-// held.
+// forget removes some of the contents that have passed policy.CrashMemory, and the content without an event for the longest
+// time if there are too many, and returns the records that drop them. The mutex must be held.
 func (q *Quarantine) forget() []keyedlog.Record {
 	var records []keyedlog.Record
-	var quietest Content
+	var leastRecent Content
 	count := 0
 	for content, known := range q.histories {
-		if oldest, ok := q.histories[quietest]; !ok || known.last.Before(oldest.last) {
-			quietest = content
+		if oldest, ok := q.histories[leastRecent]; !ok || known.lastEvent.Before(oldest.lastEvent) {
+			leastRecent = content
 		}
-		if time.Since(known.last) >= policy.CrashMemory && count < forgetMost {
-			records = append(records, drops(known.keys(content))...)
+		if time.Since(known.lastEvent) >= policy.CrashMemory && count < maxForgetPerAppend {
+			records = append(records, tombstones(known.keys(content))...)
 			delete(q.histories, content)
 			count++
 		}
 	}
-	if len(q.histories) > contentsMost {
-		records = append(records, drops(q.histories[quietest].keys(quietest))...)
-		delete(q.histories, quietest)
+	if len(q.histories) > maxContents {
+		records = append(records, tombstones(q.histories[leastRecent].keys(leastRecent))...)
+		delete(q.histories, leastRecent)
 	}
 	return records
 }
 
-// drops returns the records that drop keys.
-func drops(keys []eventKey) []keyedlog.Record {
+// tombstones returns the records that drop keys.
+func tombstones(keys []eventKey) []keyedlog.Record {
 	records := make([]keyedlog.Record, len(keys))
 	for i, key := range keys {
 		records[i].Key = key.String()
--- a/internal/quarantine/history.go
+++ b/internal/quarantine/history.go
@@ -6,39 +6,39 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// history is what is known of requests of one content.
+// history contains the events of one content.
 type history struct {
-	// ended holds the engines that ended under them.
+	// ended holds the engines that ended while they ran a request of this content.
 	ended map[string]bool
-	// trials holds the claims to trials by their keys, with their places in the log.
+	// trials maps the keys of the claims to trials to their offsets in the log.
 	trials map[eventKey]int64
-	// own holds the claims of this process; made is the last trial of its own that it has made, 0 if there is none.
-	own  map[string]bool
-	made int
-	// last is when this process learned of the last end or trial.
-	last time.Time
+	// ownClaims holds the claims of this process. lastMade is the number of the last trial that this process made, 0 if
+	// there is none.
+	ownClaims map[string]bool
+	lastMade  int
+	// lastEvent is when this process learned of the last end or trial.
+	lastEvent time.Time
 }
 
 func newHistory() *history {
-	return &history{ended: make(map[string]bool), trials: make(map[eventKey]int64), own: make(map[string]bool)}
+	return &history{ended: make(map[string]bool), trials: make(map[eventKey]int64), ownClaims: make(map[string]bool)}
 }
 
-// add takes an event that stands at an offset; one that is known already changes nothing.
+// add adds an event at an offset of the log. Adding a known event changes nothing.
 func (h *history) add(key eventKey, offset int64, now time.Time) {
 	if key.engine != "" {
 		if !h.ended[key.engine] {
 			h.ended[key.engine] = true
-			h.last = now
+			h.lastEvent = now
 		}
 		return
 	}
 	if _, known := h.trials[key]; !known {
 		h.trials[key] = offset
-		h.last = now
+		h.lastEvent = now
 	}
 }
 
-// remove forgets an event.
 func (h *history) remove(key eventKey) {
 	delete(h.ended, key.engine)
 	delete(h.trials, key)
@@ -60,12 +60,12 @@
 	return keys
 }
 
-// crashes sums the history up. Claims to the same trial count as one.
+// crashes returns a summary of the history. Claims to the same trial count as one.
 func (h *history) crashes() policy.Crashes {
-	return policy.Crashes{Engines: len(h.ended), Trials: h.lastTrial(), Last: h.last}
+	return policy.Crashes{Engines: len(h.ended), Trials: h.lastTrial(), Last: h.lastEvent}
 }
 
-// lastTrial returns the number of the last trial that was claimed, 0 if none was.
+// lastTrial returns the number of the last trial that was claimed, 0 if there is none.
 func (h *history) lastTrial() int {
 	last := 0
 	for key := range h.trials {
@@ -74,25 +74,25 @@
 	return last
 }
 
-// take takes the last trial if it is this process's and was not made yet. It returns whether it was.
-func (h *history) take() bool {
+// startTrial reports whether the last trial belongs to this process and has not been made yet, and marks it as made.
+func (h *history) startTrial() bool {
 	last := h.lastTrial()
-	if last <= h.made || !h.own[h.first(last)] {
+	if last <= h.lastMade || !h.ownClaims[h.firstClaim(last)] {
 		return false
 	}
-	h.made = last
+	h.lastMade = last
 	return true
 }
 
-// giveBack undoes take: the trial was not made after all.
-func (h *history) giveBack() {
-	if h.made > 0 && h.made == h.lastTrial() {
-		h.made--
+// returnTrial reverses takeTrial: the trial was not made after all.
+func (h *history) returnTrial() {
+	if h.lastMade > 0 && h.lastMade == h.lastTrial() {
+		h.lastMade--
 	}
 }
 
-// first returns the claim that won a trial: the first in the log.
-func (h *history) first(trial int) string {
+// firstClaim returns the claim that won a trial, which is the first in the log.
+func (h *history) firstClaim(trial int) string {
 	winner := eventKey{}
 	for key, offset := range h.trials {
 		if key.trial == trial && (winner.trial == 0 || offset < h.trials[winner]) {
--- a/internal/quarantine/key.go
+++ b/internal/quarantine/key.go
@@ -13,18 +13,18 @@
 	separator = "/"
 )
 
-// eventKey names an event. An engine ends once, however many machines tell of it, so its end has one key; every claim to a trial has its
-// own, so that the first of them can be told.
+// eventKey is the key of an event. An engine ends once, however many machines report it, so its end has one key. Every claim
+// to a trial has a key of its own, so that the first claim can be determined.
 type eventKey struct {
 	content Content
-	// engine is the engine that ended, empty for a trial.
+	// engine is the id of the engine that ended, empty for a trial.
 	engine string
-	// trial is the number of the trial, from 1; claim tells the claims to it apart.
+	// trial is the number of the trial, counted from 1; claim distinguishes the claims to it.
 	trial int
 	claim string
 }
 
-// String returns the key as it stands in the store.
+// String returns the key as it is stored.
 func (k eventKey) String() string {
 	if k.engine != "" {
 		return k.content.String() + separator + kindEnded + separator + k.engine
@@ -32,7 +32,7 @@
 	return k.content.String() + separator + kindTrial + separator + strconv.Itoa(k.trial) + separator + k.claim
 }
 
-// parseKey takes a key apart.
+// parseKey decodes a key.
 func parseKey(text string) (eventKey, bool) {
 	parts := strings.SplitN(text, separator, 4)
 	if len(parts) < 3 {
--- a/internal/quarantine/look.go
+++ b/internal/quarantine/look.go
@@ -9,45 +9,47 @@
 )
 
 const (
-	// probeTimeout bounds the look whether an engine has ended. The dead port of a living machine refuses within one round trip, a few
-	// milliseconds; a machine that says nothing leaves open what became of its engine.
+	// probeTimeout limits the check whether an engine has ended. A closed port of a running machine refuses connections
+	// within one round trip, a few milliseconds; if the machine does not respond, the state of its engine stays unknown.
 	probeTimeout = 150 * time.Millisecond
-	// newsTimeout is how long a caller's answer waits until the store has the news that its request is withheld: the caller may come
-	// again at once, at another machine. An append takes some milliseconds, and a few times as long on a store that is busy.
-	newsTimeout = 100 * time.Millisecond
+	// publishTimeout is how long a caller's answer waits until the store has the record that withholds its request: the
+	// caller may retry at once, at another machine. An append takes a few milliseconds, and several times as long on a busy
+	// store.
+	publishTimeout = 100 * time.Millisecond
 )
 
-// Prober looks at an engine from outside.
+// Prober checks an engine from outside its process.
 type Prober interface {
-	// Ended tells whether the engine's address refuses connections, so that no process listens there any more.
+	// Ended reports whether the engine's address refuses connections, so that no process listens there any more.
 	Ended(ctx context.Context, engine fleet.Engine) bool
 }
 
-// Broke takes that a call was sent to an engine and the engine's answer broke off or never came, for the given cause, and looks whether
-// the engine has ended. It returns how the call stands with that many strikes. A first break is looked at while the call goes on: the
-// look takes 150 ms where the engine's machine is cut off, as long as callers wait for a whole answer.
+// Broke reports that a call was sent to an engine and that the engine's answer broke off or never arrived, with the given
+// cause. It checks whether the engine has ended, and returns the standing of the call for that number of strikes. For the
+// first broken answer of a content, the check runs in the background while the call continues: if the engine's machine is
+// unreachable, the check takes 150 ms, as long as callers wait for a whole answer.
 func (q *Quarantine) Broke(ctx context.Context, call engineapi.Call, engine fleet.Engine, cause error, strikes int) Standing {
 	if q == nil {
 		return Clear
 	}
-	found := breakage{call: call, content: ContentOf(call), engine: engine, cause: cause, strikes: strikes}
-	if q.beginLook(found.content) {
+	found := brokenAnswer{call: call, content: ContentOf(call), engine: engine, cause: cause, strikes: strikes}
+	if q.beginProbe(found.content) {
 		go func() {
-			defer q.endLook(found.content)
-			q.look(context.WithoutCancel(ctx), found)
+			defer q.endProbe(found.content)
+			q.probe(context.WithoutCancel(ctx), found)
 		}()
 		return Suspect
 	}
-	defer q.endLook(found.content)
-	standing, told := q.look(ctx, found)
-	if standing == Withheld && told != nil {
-		awaitNews(ctx, told)
+	defer q.endProbe(found.content)
+	standing, published := q.probe(ctx, found)
+	if standing == Withheld && published != nil {
+		waitPublished(ctx, published)
 	}
 	return standing
 }
 
-// breakage is an answer that broke off.
-type breakage struct {
+// brokenAnswer is an answer that broke off.
+type brokenAnswer struct {
 	call    engineapi.Call
 	content Content
 	engine  fleet.Engine
@@ -55,59 +57,60 @@
 	strikes int
 }
 
-// beginLook begins a look at an engine. It returns whether nothing is known of the content and nothing else is being found out.
-func (q *Quarantine) beginLook(content Content) (first bool) {
+// beginProbe registers the check of an engine. It reports whether the content has no history and no other check in progress.
+func (q *Quarantine) beginProbe(content Content) (first bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	_, known := q.histories[content]
-	first = !known && q.looks[content] == 0
-	q.looks[content]++
+	first = !known && q.probes[content] == 0
+	q.probes[content]++
 	return first
 }
 
-func (q *Quarantine) endLook(content Content) {
+func (q *Quarantine) endProbe(content Content) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.looks[content]--
-	if q.looks[content] == 0 {
-		delete(q.looks, content)
+	q.probes[content]--
+	if q.probes[content] == 0 {
+		delete(q.probes, content)
 	}
 }
 
-// look finds out whether an engine has ended under a call and remembers it. It returns how the call stands, and what is closed once the
-// store has the news, nil if there is none. An engine that was to leave, or that is no longer listed, ends as planned.
-func (q *Quarantine) look(ctx context.Context, found breakage) (standing Standing, told <-chan struct{}) {
+// probe determines whether an engine has ended while it ran a call, and records it. It returns the standing of the call, and
+// a channel that is closed once the store has the record, nil if there is none. The end of an engine that was draining or is
+// no longer listed is not a crash.
+func (q *Quarantine) probe(ctx context.Context, found brokenAnswer) (standing Standing, published <-chan struct{}) {
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	ended := q.config.Prober.Ended(probeCtx, found.engine)
 	known, listed := q.config.Directory.Engine(found.engine.ID)
 	leaving := !listed || known.Draining
 	if ended && !leaving {
-		told = q.ended(eventKey{content: found.content, engine: found.engine.ID})
+		published = q.ended(eventKey{content: found.content, engine: found.engine.ID})
 	}
 	crashes := q.crashes(found.content)
 	standing = standingOf(crashes, found.strikes)
 	q.config.Logger.Info("answer broke off", "request", found.call.RequestID, "content", found.content, "engine", found.engine.ID,
 		"pool", found.engine.Pool, "ended", ended, "leaving", leaving, "engines_ended", crashes.Engines, "standing", standing,
 		"cause", found.cause)
-	return standing, told
+	return standing, published
 }
 
-// ended remembers that an engine ended, and returns what is closed once the store has it.
+// ended records that an engine ended, and returns a channel that is closed once the store has the record.
 func (q *Quarantine) ended(key eventKey) <-chan struct{} {
 	q.mutex.Lock()
 	q.add(key, 0)
 	records := append(q.forget(), q.record(key))
 	q.mutex.Unlock()
-	return q.writer.put(records...)
+	return q.writer.enqueue(records...)
 }
 
-// awaitNews waits a little until the store has what withholds a request.
-func awaitNews(ctx context.Context, told <-chan struct{}) {
-	timer := time.NewTimer(newsTimeout)
+// waitPublished waits for at most publishTimeout until the store has the record that withholds a request.
+func waitPublished(ctx context.Context, published <-chan struct{}) {
+	timer := time.NewTimer(publishTimeout)
 	defer timer.Stop()
 	select {
-	case <-told:
+	case <-published:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -12,7 +12,7 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// Follower tells how far the partition of crashes was applied.
+// Follower waits until the partition of crashes was applied up to an offset.
 type Follower interface {
 	WaitUntil(ctx context.Context, end int64) error
 }
@@ -21,17 +21,18 @@
 type Config struct {
 	Log    keyedlog.Log
 	Prober Prober
-	// Directory tells which engines there are and which of them leave as planned.
+	// Directory lists the engines and whether they are draining.
 	Directory *fleet.Directory
-	// Machine names the machine that the process runs on.
+	// Machine is the name of the machine that the process runs on.
 	Machine string
 	Logger  *log.Logger
 }
 
-// Quarantine remembers under which contents engines ended, here and at all other machines, and withholds those that crash engines. All
-// machines learn of each end by the log: an end that a caller's retry must not overtake is in the log before the caller has its answer.
-// A request that was withheld by coincidence is cleared by a trial, which one machine makes of all: the one whose claim is the first in
-// the log. A nil quarantine withholds nothing. It is safe for concurrent use; it implements follow.Applier.
+// Quarantine records for which contents engines ended, at this and all other machines, and withholds contents that crash
+// engines. All machines read each end from the log. An end whose record must be visible to a caller's retry is written to
+// the log before the caller gets its answer. A content that was withheld by coincidence is cleared by a trial, which only
+// one machine makes: the one whose claim is the first in the log. A nil quarantine withholds nothing. It is safe for
+// concurrent use; it implements follow.Applier.
 type Quarantine struct {
 	config   Config
 	follower Follower
@@ -39,47 +40,47 @@
 
 	mutex     sync.Mutex
 	histories map[Content]*history
-	// looks counts the engines that are being looked at, by what they ran.
-	looks map[Content]int
-	// silences are the calls that were given up of late, the oldest first.
-	silences []silence
-	// claims holds the contents whose trials this process asks for.
+	// probes counts the checks of engines in progress by the content that the engine ran.
+	probes map[Content]int
+	// silentCalls are the calls that recently timed out without any response from the engine, oldest first.
+	silentCalls []silentCall
+	// claims holds the contents for which this process is claiming a trial.
 	claims map[Content]bool
 }
 
-// New returns a quarantine. Attach must follow, and Run writes what it finds.
+// New returns a quarantine. Attach must be called before its first use, and Run must run to write its records.
 func New(config Config) *Quarantine {
 	return &Quarantine{
-		config: config, writer: newWriter(config.Log, config.Logger), histories: make(map[Content]*history), looks: make(map[Content]int),
+		config: config, writer: newWriter(config.Log, config.Logger), histories: make(map[Content]*history), probes: make(map[Content]int),
 		claims: make(map[Content]bool),
 	}
 }
 
-// Attach names the follower that applies the partition of crashes to the quarantine.
+// Attach sets the follower that applies the partition of crashes to the quarantine.
 func (q *Quarantine) Attach(follower Follower) {
 	q.follower = follower
 }
 
-// Run finds out what became of silent engines, and writes what this process finds, until the context ends.
+// Run determines which silent engines have ended, and writes the records of this process, until the context ends.
 func (q *Quarantine) Run(ctx context.Context) {
 	var watching sync.WaitGroup
-	watching.Go(func() { q.watchSilences(ctx) })
+	watching.Go(func() { q.watchSilentCalls(ctx) })
 	q.writer.run(ctx)
 	watching.Wait()
 }
 
-// Contents returns how many contents are remembered.
+// Contents returns the number of contents with a history.
 func (q *Quarantine) Contents() int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return len(q.histories)
 }
 
-// quiet tells whether no engine has ended or fallen silent under any content.
-func (q *Quarantine) quiet() bool {
+// idle reports whether there is neither a content with a history nor a silent call.
+func (q *Quarantine) idle() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return len(q.histories) == 0 && len(q.silences) == 0
+	return len(q.histories) == 0 && len(q.silentCalls) == 0
 }
 
 func (q *Quarantine) crashes(content Content) policy.Crashes {
@@ -91,7 +92,7 @@
 	return policy.Crashes{}
 }
 
-// add takes an event. The mutex must be held.
+// add adds an event to the history of its content. The mutex must be held.
 func (q *Quarantine) add(key eventKey, offset int64) {
 	known, ok := q.histories[key.content]
 	if !ok {
@@ -109,7 +110,7 @@
 	return keyedlog.Record{Key: key.String(), Value: value}
 }
 
-// Apply takes a record of the partition of crashes.
+// Apply applies a record of the partition of crashes.
 func (q *Quarantine) Apply(record keyedlog.Record, _ bool) {
 	key, ok := parseKey(record.Key)
 	if !ok {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -24,9 +24,9 @@
 	"github.com/matryer/is"
 )
 
-var errCut = errors.New("connection reset")
+var errConnReset = errors.New("connection reset")
 
-// world is a store and engines, before any number of machines.
+// world is a store and the state of engines, shared by any number of machines.
 type world struct {
 	test    *testing.T
 	store   *memorylog.Store
@@ -34,14 +34,14 @@
 	running sync.WaitGroup
 
 	mutex sync.Mutex
-	// gone holds the engines that refuse connections.
-	gone map[string]bool
+	// endedEngines holds the engines that refuse connections.
+	endedEngines map[string]bool
 }
 
 func newWorld(t *testing.T) *world {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &world{
-		test: t, ctx: ctx, gone: make(map[string]bool),
+		test: t, ctx: ctx, endedEngines: make(map[string]bool),
 		store: memorylog.New(memorylog.Config{Partitions: 1, Delay: 3 * time.Millisecond}),
 	}
 	t.Cleanup(func() {
@@ -55,17 +55,17 @@
 func (w *world) Ended(_ context.Context, engine fleet.Engine) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.gone[engine.ID]
+	return w.endedEngines[engine.ID]
 }
 
-// end has an engine refuse connections.
+// end makes an engine refuse connections.
 func (w *world) end(engineID string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.gone[engineID] = true
+	w.endedEngines[engineID] = true
 }
 
-// machine is a quarantine with what it stands on.
+// machine is a quarantine with its dependencies.
 type machine struct {
 	*quarantine.Quarantine
 	world     *world
@@ -94,12 +94,12 @@
 	return engineapi.Call{Host: "h", Method: "POST", Target: "/t", Body: []byte(body), RequestID: fmt.Sprint("id", rand.Uint64())}
 }
 
-// crash ends an engine under a call that this machine has sent.
+// crash ends an engine while it runs a call that this machine has sent.
 func (m *machine) crash(engineID string, crashing engineapi.Call) quarantine.Standing {
 	engine := fleet.Engine{ID: engineID, Pool: "p"}
 	m.directory.Upsert(engine)
 	m.world.end(engineID)
-	standing := m.Broke(m.world.ctx, crashing, engine, errCut, policy.RequestStrikes)
+	standing := m.Broke(m.world.ctx, crashing, engine, errConnReset, policy.RequestStrikes)
 	time.Sleep(20 * time.Millisecond)
 	return standing
 }
@@ -109,7 +109,8 @@
 	return standing
 }
 
-// TestAllMachinesLearnOfCrashes has two engines end under a request at different machines; a third one withholds it, and no other.
+// TestAllMachinesLearnOfCrashes has two engines end while they run a request of different machines. A third machine must
+// withhold this request and no other.
 func TestAllMachinesLearnOfCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -127,14 +128,14 @@
 		is.Equal(standing, quarantine.Clear)
 		_, wait := third.Admit(w.ctx, call("x"), policy.RequestStrikes)
 		is.True(wait > 0 && wait <= 10*time.Second)
-		// An item takes one end more.
+		// An item of a job is withheld one ended engine later.
 		standing, _ = third.Admit(w.ctx, call("x"), policy.ItemStrikes)
 		is.Equal(standing, quarantine.Suspect)
 	})
 }
 
-// TestAnEndCountsOnce has several machines tell of the same engine.
-func TestAnEndCountsOnce(t *testing.T) {
+// TestEngineEndCountsOnce has several machines report the end of the same engine.
+func TestEngineEndCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -146,8 +147,9 @@
 	})
 }
 
-// TestWhatIsNoCrash checks breaks after which the engine lives on, and engines that were to leave.
-func TestWhatIsNoCrash(t *testing.T) {
+// TestBrokenAnswerWithoutCrash checks that answers that break off while the engine keeps running, is draining or is no
+// longer listed do not count as crashes.
+func TestBrokenAnswerWithoutCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -155,14 +157,14 @@
 		for i := range 5 {
 			engine := fleet.Engine{ID: fmt.Sprint("living", i)}
 			m.directory.Upsert(engine)
-			m.Broke(w.ctx, call("x"), engine, errCut, policy.RequestStrikes)
+			m.Broke(w.ctx, call("x"), engine, errConnReset, policy.RequestStrikes)
 			engine = fleet.Engine{ID: fmt.Sprint("leaving", i), Draining: true}
 			m.directory.Upsert(engine)
 			w.end(engine.ID)
-			m.Broke(w.ctx, call("x"), engine, errCut, policy.RequestStrikes)
+			m.Broke(w.ctx, call("x"), engine, errConnReset, policy.RequestStrikes)
 			engine = fleet.Engine{ID: fmt.Sprint("unlisted", i)}
 			w.end(engine.ID)
-			m.Broke(w.ctx, call("x"), engine, errCut, policy.RequestStrikes)
+			m.Broke(w.ctx, call("x"), engine, errConnReset, policy.RequestStrikes)
 			time.Sleep(time.Second)
 		}
 		is.Equal(m.standing("x"), quarantine.Clear)
@@ -170,8 +172,8 @@
 	})
 }
 
-// TestAnAnswerClears checks that a request that some engine answers is free again, at every machine.
-func TestAnAnswerClears(t *testing.T) {
+// TestAnswerClearsContent checks that a request that some engine answers is clear again at every machine.
+func TestAnswerClearsContent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -185,8 +187,9 @@
 	})
 }
 
-// TestOneMachineMakesATrial has many machines ask for a trial at once, three times in a row: two trials, one machine each.
-func TestOneMachineMakesATrial(t *testing.T) {
+// TestOneMachineMakesEachTrial has many machines claim a trial at the same time, three times in a row. There must be two
+// trials, each made by one machine.
+func TestOneMachineMakesEachTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -200,11 +203,11 @@
 		for _, wait := range []time.Duration{10 * time.Second, 10 * time.Minute, time.Hour} {
 			time.Sleep(wait)
 			standings := make([]quarantine.Standing, len(machines))
-			var asking sync.WaitGroup
+			var callers sync.WaitGroup
 			for i, m := range machines {
-				asking.Go(func() { standings[i] = m.standing("x") })
+				callers.Go(func() { standings[i] = m.standing("x") })
 			}
-			asking.Wait()
+			callers.Wait()
 			count := 0
 			for _, standing := range standings {
 				if standing != quarantine.Withheld {
@@ -217,8 +220,9 @@
 	})
 }
 
-// TestNewMachinesKnow checks that a machine that starts later knows what ended, also after the store has dropped its history.
-func TestNewMachinesKnow(t *testing.T) {
+// TestNewMachineReadsHistory checks that a machine that starts later knows which engines ended, even after the store has
+// dropped its history.
+func TestNewMachineReadsHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -233,8 +237,9 @@
 	})
 }
 
-// TestCrashesWhileTheStoreIsAway checks that a machine acts on what it saw itself, and tells the others once it can.
-func TestCrashesWhileTheStoreIsAway(t *testing.T) {
+// TestCrashesDuringStoreOutage checks that a machine acts on the ends that it detected itself, and publishes them once the
+// store is back.
+func TestCrashesDuringStoreOutage(t *testing.T) {
 	for _, fault := range []memorylog.Fault{memorylog.Down, memorylog.Silent, memorylog.LostBefore, memorylog.LostAfter, memorylog.LostLate} {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -248,7 +253,7 @@
 				first.crash("b", call("x"))
 				is.True(time.Since(started) < 150*time.Millisecond)
 				is.Equal(first.standing("x"), quarantine.Withheld)
-				// A trial can't be claimed while the store is away.
+				// A trial can't be claimed while the store is unavailable.
 				time.Sleep(11 * time.Second)
 				is.Equal(first.standing("x"), quarantine.Withheld)
 				w.store.Heal()
@@ -259,12 +264,12 @@
 	}
 }
 
-// TestSendsAreBounded plays random machines, restarts and outages of the store, with a request that crashes every engine. Once the third
-// engine has ended, no more than three sends may follow the time that machines have to learn of it.
+// TestSendsAreBounded runs random restarts of machines and outages of the store, with a request that crashes every engine.
+// Once the third engine has ended, at most three sends may follow after the time in which machines learn of it.
 func TestSendsAreBounded(t *testing.T) {
 	const (
-		seeds   = 60
-		inTouch = 3 * time.Second
+		seeds     = 60
+		learnTime = 3 * time.Second
 	)
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
@@ -279,20 +284,20 @@
 				case 0:
 					machines[i].stop()
 					machines[i] = w.machine(fmt.Sprint(i))
-					// A machine is in touch some seconds after its start.
-					time.Sleep(inTouch)
+					// A machine has read the log a few seconds after its start.
+					time.Sleep(learnTime)
 				case 1:
 					w.store.Forget()
 				case 2:
 					w.store.SetRule(func(memorylog.Call) memorylog.Fault { return memorylog.Down })
 					time.Sleep(time.Duration(random.Int64N(int64(4 * time.Second))))
 					w.store.Heal()
-					time.Sleep(inTouch)
+					time.Sleep(learnTime)
 				default:
 					if machines[i].standing("x") == quarantine.Withheld {
 						continue
 					}
-					if len(ends) >= 3 && time.Since(ends[2]) > inTouch {
+					if len(ends) >= 3 && time.Since(ends[2]) > learnTime {
 						late++
 					}
 					machines[i].crash(fmt.Sprint("e", step), call("x"))
@@ -306,7 +311,7 @@
 	}
 }
 
-// TestContentsAreBounded has engines end under more contents than are remembered.
+// TestContentsAreBounded has engines end for more contents than are kept.
 func TestContentsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -319,7 +324,7 @@
 		is.Equal(m.Contents(), 4096)
 		is.Equal(m.standing("0"), quarantine.Clear)
 		is.Equal(m.standing("4199"), quarantine.Suspect)
-		// A day later, what is too old goes with the next end.
+		// A day later, expired contents are dropped with the next end.
 		time.Sleep(25 * time.Hour)
 		for i := range 70 {
 			m.crash(fmt.Sprint("late", i), call(fmt.Sprint("late", i)))
@@ -329,7 +334,7 @@
 	})
 }
 
-// TestContentOf checks what makes requests the same.
+// TestContentOf checks which fields of a request its content depends on.
 func TestContentOf(t *testing.T) {
 	is := is.New(t)
 	same := call("x")
@@ -352,9 +357,10 @@
 	}
 }
 
-// TestSilentEnginesThatEnded checks that an engine that said nothing counts as ended once another has its address soon, and not if it was to
-// leave, if the other one comes much later, or at another address.
-func TestSilentEnginesThatEnded(t *testing.T) {
+// TestSilentEngineReplaced checks that an engine that did not respond counts as ended once another engine appears at its
+// address within the window, and not if the silent engine was draining or the other one appears much later or at another
+// address.
+func TestSilentEngineReplaced(t *testing.T) {
 	tests := []struct {
 		name     string
 		leaves   bool
@@ -391,9 +397,9 @@
 	}
 }
 
-// TestASilentEngineThatStartsAgain: a process that is back under its own id has ended as much as one that another stands in for; a
-// record of it as it was has not.
-func TestASilentEngineThatStartsAgain(t *testing.T) {
+// TestSilentEngineRestarted checks that a silent engine that restarted under its own id counts as ended, like one that was
+// replaced, and that a new record of the engine with the same start time does not.
+func TestSilentEngineRestarted(t *testing.T) {
 	for name, test := range map[string]struct {
 		started  time.Time
 		standing quarantine.Standing
@@ -418,8 +424,8 @@
 	}
 }
 
-// TestSilencesAreBounded has more calls given up than are watched.
-func TestSilencesAreBounded(t *testing.T) {
+// TestSilentCallsAreBounded abandons more calls than are watched.
+func TestSilentCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -437,9 +443,9 @@
 	})
 }
 
-// TestWhatIsNoSilence checks engines that seem to be replaced by one of which an old record is still there, calls that were given up at once,
-// and calls whose like was answered since.
-func TestWhatIsNoSilence(t *testing.T) {
+// TestSilentCallsNotCounted checks engines whose address has an old record of another engine, calls that were abandoned at
+// once, and calls whose content has been answered since.
+func TestSilentCallsNotCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -460,9 +466,9 @@
 	})
 }
 
-// TestManyCallsOfOneContentAskForOneTrial has many calls of one process ask for a trial at once: one is admitted, the others are told to come
-// soon, and all are free once it was answered.
-func TestManyCallsOfOneContentAskForOneTrial(t *testing.T) {
+// TestConcurrentCallsClaimOneTrial has many calls of one process try to claim a trial at once: one is admitted, the others
+// get a short wait, and all are clear once it was answered.
+func TestConcurrentCallsClaimOneTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t)
@@ -471,10 +477,10 @@
 		m.crash("b", call("x"))
 		time.Sleep(10 * time.Second)
 		var mutex sync.Mutex
-		var asking sync.WaitGroup
+		var callers sync.WaitGroup
 		admitted, appends := 0, w.store.Appends()
 		for range 40 {
-			asking.Go(func() {
+			callers.Go(func() {
 				standing, wait := m.Admit(w.ctx, call("x"), policy.RequestStrikes)
 				mutex.Lock()
 				defer mutex.Unlock()
@@ -485,7 +491,7 @@
 				}
 			})
 		}
-		asking.Wait()
+		callers.Wait()
 		is.Equal(admitted, 1)
 		is.Equal(w.store.Appends(), appends+1)
 		m.Answered(call("x"))
@@ -493,10 +499,11 @@
 	})
 }
 
-// TestATrialThatWasNotMadeIsNotLost has a machine ask for a trial of which it learns nothing: its claim is in the log, the answer is not. The
-// next trial comes ten minutes later, so that an item under which engines ended by chance stood at no engine until its step's time
-// was over. The machine whose claim is the first in the log makes the trial as soon as it learns so, once.
-func TestATrialThatWasNotMadeIsNotLost(t *testing.T) {
+// TestTrialWithLostAnswerIsMade has a machine claim a trial without learning the outcome: the claim may be in the log, but
+// the answer is lost. The next trial comes ten minutes later, so an item for which engines ended by coincidence would wait
+// until the time of its step is over. The machine whose claim is the first in the log must make the trial as soon as it
+// reads the claim, once.
+func TestTrialWithLostAnswerIsMade(t *testing.T) {
 	for _, fault := range []memorylog.Fault{memorylog.LostAfter, memorylog.LostLate, memorylog.LostBefore} {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/quarantine/records.go
+++ b/internal/quarantine/records.go
@@ -2,10 +2,10 @@
 
 //go:generate go tool msgp -tests=false -unexported
 
-// event is the record of an engine that ended under a request, or of a trial that a machine asks for.
+// event is the record of an engine that ended while it ran a request, or of a machine's claim to a trial.
 type event struct {
-	// Machine is whose word it is.
+	// Machine is the machine that wrote the record.
 	Machine string `msg:"machine"`
-	// At is the time of day there, in milliseconds since 1970.
+	// At is the wall-clock time there, in milliseconds since 1970.
 	At int64 `msg:"at"`
 }
--- a/internal/quarantine/silence.go
+++ b/internal/quarantine/silence.go
@@ -9,62 +9,64 @@
 )
 
 const (
-	// silenceFor is how long after a call was given up its engine may turn out to have ended: its machine stops it and starts another in
-	// its place within some seconds.
-	silenceFor = 10 * time.Second
-	// silenceLeast is how long an engine must have said nothing to a call. Calls are given up sooner for reasons of the caller's.
-	silenceLeast = 300 * time.Millisecond
-	// silenceLook is how often it is looked whether engines of calls that were given up have ended.
-	silenceLook = 500 * time.Millisecond
-	// silencesMost bounds the calls that are watched so, some 200 bytes each: an engine that falls silent leaves as many as it has
-	// places.
-	silencesMost = 1024
+	// silenceWindow is how long after a call was abandoned the end of its engine is attributed to the call: its machine
+	// stops the engine and starts a replacement within several seconds.
+	silenceWindow = 10 * time.Second
+	// minSilence is the minimum time for which an engine must not have responded to a call. Calls are abandoned earlier for
+	// reasons on the caller's side.
+	minSilence = 300 * time.Millisecond
+	// silenceCheckInterval is the interval between checks whether the engines of abandoned calls have ended.
+	silenceCheckInterval = 500 * time.Millisecond
+	// maxSilentCalls limits the number of calls that are watched, some 200 bytes each. An engine that stops responding
+	// leaves as many as it has slots.
+	maxSilentCalls = 1024
 )
 
-// silence is a call that was given up since its engine said nothing.
-type silence struct {
+// silentCall is a call that was abandoned because its engine did not respond.
+type silentCall struct {
 	content Content
 	engine  fleet.Engine
 	since   time.Time
-	// others are the engines that were known at the address by then: records of earlier ones that have not lapsed yet.
-	others map[string]bool
+	// knownIDs are the ids of the engines listed at the address at that time, which include earlier engines whose records
+	// have not expired yet.
+	knownIDs map[string]bool
 }
 
-// Silent takes that a call was given up while the engine it was sent to had said nothing for a time. Whether the engine has ended shows
-// when another one takes its place.
+// Silent reports that a call was abandoned after the engine it was sent to had not responded for the duration lasted. The
+// engine has ended if another one appears at its address.
 func (q *Quarantine) Silent(call engineapi.Call, engine fleet.Engine, lasted time.Duration) {
-	if q == nil || lasted < silenceLeast {
+	if q == nil || lasted < minSilence {
 		return
 	}
 	known, listed := q.config.Directory.Engine(engine.ID)
 	if !listed || known.Draining {
 		return
 	}
-	next := silence{content: ContentOf(call), engine: engine, since: time.Now(), others: make(map[string]bool)}
+	next := silentCall{content: ContentOf(call), engine: engine, since: time.Now(), knownIDs: make(map[string]bool)}
 	for _, other := range q.config.Directory.Pool(engine.Pool) {
 		if other.Address == engine.Address {
-			next.others[other.ID] = true
+			next.knownIDs[other.ID] = true
 		}
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if len(q.silences) >= silencesMost {
-		q.silences = q.silences[1:]
+	if len(q.silentCalls) >= maxSilentCalls {
+		q.silentCalls = q.silentCalls[1:]
 	}
-	q.silences = append(q.silences, next)
+	q.silentCalls = append(q.silentCalls, next)
 }
 
-// watchSilences finds out which silent engines have ended, until the context ends.
-func (q *Quarantine) watchSilences(ctx context.Context) {
-	look := time.NewTicker(silenceLook)
-	defer look.Stop()
+// watchSilentCalls determines which silent engines have ended, until the context ends.
+func (q *Quarantine) watchSilentCalls(ctx context.Context) {
+	ticker := time.NewTicker(silenceCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		for _, ended := range q.settleSilences() {
+		for _, ended := range q.resolveSilentCalls() {
 			q.ended(eventKey{content: ended.content, engine: ended.engine.ID})
 			q.config.Logger.Info("silent engine has ended", "content", ended.content, "engine", ended.engine.ID, "pool", ended.engine.Pool,
 				"address", ended.engine.Address, "given_up_ago", time.Since(ended.since).Round(time.Millisecond))
@@ -72,36 +74,37 @@
 	}
 }
 
-// settleSilences returns the silences whose engines have ended, and goes on with those of which nothing is known yet.
-func (q *Quarantine) settleSilences() (ended []silence) {
+// resolveSilentCalls returns the calls whose engines have ended, and keeps those whose engines may still turn out to have
+// ended.
+func (q *Quarantine) resolveSilentCalls() (ended []silentCall) {
 	q.mutex.Lock()
-	waiting := q.silences
-	q.silences = nil
+	calls := q.silentCalls
+	q.silentCalls = nil
 	q.mutex.Unlock()
-	var open []silence
-	for _, next := range waiting {
+	var remaining []silentCall
+	for _, next := range calls {
 		known, listed := q.config.Directory.Engine(next.engine.ID)
 		switch {
-		case listed && known.Draining, time.Since(next.since) > silenceFor:
+		case listed && known.Draining, time.Since(next.since) > silenceWindow:
 		case q.replaced(next):
 			ended = append(ended, next)
 		default:
-			open = append(open, next)
+			remaining = append(remaining, next)
 		}
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.silences = append(open, q.silences...)
+	q.silentCalls = append(remaining, q.silentCalls...)
 	return ended
 }
 
-// replaced tells whether a new engine of the pool has the address of a silent one, or the silent one has started again.
-func (q *Quarantine) replaced(silent silence) bool {
+// replaced reports whether a new engine of the pool has the address of a silent one, or the silent engine has restarted.
+func (q *Quarantine) replaced(silent silentCall) bool {
 	if known, listed := q.config.Directory.Engine(silent.engine.ID); listed && known.Restarted(silent.engine) {
 		return true
 	}
 	for _, other := range q.config.Directory.Pool(silent.engine.Pool) {
-		if other.Address == silent.engine.Address && !silent.others[other.ID] {
+		if other.Address == silent.engine.Address && !silent.knownIDs[other.ID] {
 			return true
 		}
 	}
--- a/internal/quarantine/writer.go
+++ b/internal/quarantine/writer.go
@@ -12,47 +12,48 @@
 )
 
 const (
-	// writeRetry is the pause after an append that failed; the log bounds each.
-	writeRetry = 250 * time.Millisecond
-	// queueMost bounds the records that wait while the store is away. An engine that ends under all of its places makes some tens.
-	queueMost = 1024
+	// writeRetryInterval is the pause after a failed append; the log itself limits the duration of each append.
+	writeRetryInterval = 250 * time.Millisecond
+	// maxQueued limits the number of records that are queued while the store is unavailable. An engine that ends with all
+	// its slots in use produces several tens.
+	maxQueued = 1024
 )
 
-// writer writes records one append after another, all that wait in one. Each record says the same however often it is written, so
-// that an append whose answer was lost is made again.
+// writer writes records one append at a time, with all queued records in one append. Writing a record again does not change
+// its meaning, so an append whose answer was lost is repeated.
 type writer struct {
 	log    keyedlog.Log
 	logger *log.Logger
 
-	mutex  sync.Mutex
-	queue  []keyedlog.Record
-	wanted chan struct{}
-	// written is closed when all that waits now has been written.
+	mutex sync.Mutex
+	queue []keyedlog.Record
+	wake  chan struct{}
+	// written is closed once all records that are queued now have been written.
 	written chan struct{}
 }
 
 func newWriter(log keyedlog.Log, logger *log.Logger) *writer {
-	return &writer{log: log, logger: logger, wanted: make(chan struct{}, 1), written: make(chan struct{})}
+	return &writer{log: log, logger: logger, wake: make(chan struct{}, 1), written: make(chan struct{})}
 }
 
-// put has records written and returns what is closed once they are.
-func (w *writer) put(records ...keyedlog.Record) <-chan struct{} {
+// enqueue queues records and returns a channel that is closed once they have been written.
+func (w *writer) enqueue(records ...keyedlog.Record) <-chan struct{} {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.queue = append(w.queue, records...)
-	if excess := len(w.queue) - queueMost; excess > 0 {
+	if excess := len(w.queue) - maxQueued; excess > 0 {
 		w.logger.Warn("records of ended engines dropped, the store takes none", "count", excess)
 		w.queue = w.queue[excess:]
 	}
 	select {
-	case w.wanted <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 	return w.written
 }
 
-// take returns what waits, and what to close once it is written.
-func (w *writer) take() ([]keyedlog.Record, chan struct{}) {
+// drain returns the queued records, and the channel to close once they have been written.
+func (w *writer) drain() ([]keyedlog.Record, chan struct{}) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	records, written := w.queue, w.written
@@ -60,22 +61,22 @@
 	return records, written
 }
 
-// run writes until the context ends.
+// run writes queued records until the context ends.
 func (w *writer) run(ctx context.Context) {
 	for {
 		select {
-		case <-w.wanted:
+		case <-w.wake:
 		case <-ctx.Done():
 			return
 		}
-		records, written := w.take()
+		records, written := w.drain()
 		for len(records) > 0 {
 			_, err := w.log.Append(ctx, keyedlog.Crashes, records, nil)
 			if err == nil {
 				break
 			}
 			errorlog.Warn(w.logger, "records of ended engines not written", err, "count", len(records))
-			if !pause.For(ctx, writeRetry) {
+			if !pause.For(ctx, writeRetryInterval) {
 				return
 			}
 		}
