--- a/internal/reorder/reorder.go
+++ b/internal/reorder/reorder.go
@@ -1,26 +1,26 @@
-// Package reorder puts the pieces of one answer in order: pieces may come late, twice, overlapping or out of order, and
-// leave without a gap or an overlap.
+// Package reorder puts the pieces of one answer in order: pieces may arrive late, twice, overlapping or out of order, and
+// are returned without gaps or overlaps.
 package reorder
 
-// MaxHeld bounds the pieces held for one that is missing before them; more are dropped.
+// MaxHeld is the maximum number of pieces held while an earlier piece is missing; further ones are dropped.
 const MaxHeld = 256
 
-// Shape tells how to read a piece of type P.
+// Shape contains the functions that access a piece of type P.
 type Shape[P any] struct {
-	// Index is the position of the first token in the answer, Length the number of tokens.
+	// Index returns the position of the first token in the answer, Length the number of tokens.
 	Index  func(piece P) int
 	Length func(piece P) int
 	// Skip returns the piece without its first tokens.
 	Skip func(piece P, tokens int) P
 }
 
-// Drops counts pieces that were not passed on as they came.
+// Drops counts the pieces that were dropped or delayed.
 type Drops struct {
-	// Duplicate pieces hold only tokens that had arrived.
+	// Duplicate pieces contain only tokens that had arrived before.
 	Duplicate int
-	// Overflow pieces came too far ahead of a missing one.
+	// Overflow pieces arrived while MaxHeld pieces were held.
 	Overflow int
-	// Reordered pieces were held until those before them came.
+	// Reordered pieces were held until the pieces before them arrived.
 	Reordered int
 }
 
@@ -32,21 +32,21 @@
 	drops Drops
 }
 
-// NewBuffer expects the piece at index next first.
+// NewBuffer returns a buffer whose first token has the index next.
 func NewBuffer[P any](shape Shape[P], next int) *Buffer[P] {
 	return &Buffer[P]{shape: shape, next: next, held: make(map[int]P)}
 }
 
-// Next is the index of the first token that has not arrived in order.
+// Next returns the index of the first token that has not arrived in order.
 func (b *Buffer[P]) Next() int { return b.next }
 
-// Drops counts what was not passed on as it came, so far.
+// Drops returns the counts so far.
 func (b *Buffer[P]) Drops() Drops { return b.drops }
 
-// Advance moves on as if tokens had arrived in order.
+// Advance skips a number of tokens as if they had arrived in order.
 func (b *Buffer[P]) Advance(tokens int) { b.next += tokens }
 
-// Add takes a piece in and returns the pieces that are ready now, in order, without a gap or an overlap.
+// Add adds a piece and returns the pieces that are now ready, in order and without gaps or overlaps.
 func (b *Buffer[P]) Add(piece P) (ready []P) {
 	index := b.shape.Index(piece)
 	if index+b.shape.Length(piece) <= b.next {
@@ -57,21 +57,21 @@
 		b.hold(piece)
 		return nil
 	}
-	ready = append(ready, b.take(piece))
+	ready = append(ready, b.trim(piece))
 	for {
-		held, found := b.unhold()
+		held, found := b.nextHeld()
 		if !found {
 			return ready
 		}
-		ready = append(ready, b.take(held))
+		ready = append(ready, b.trim(held))
 	}
 }
 
-// take cuts off what has arrived before and moves on past the piece.
-func (b *Buffer[P]) take(piece P) P {
-	taken := b.shape.Skip(piece, b.next-b.shape.Index(piece))
-	b.next += b.shape.Length(taken)
-	return taken
+// trim removes the tokens that have arrived before and advances the buffer past the piece.
+func (b *Buffer[P]) trim(piece P) P {
+	trimmed := b.shape.Skip(piece, b.next-b.shape.Index(piece))
+	b.next += b.shape.Length(trimmed)
+	return trimmed
 }
 
 func (b *Buffer[P]) hold(piece P) {
@@ -88,8 +88,8 @@
 	}
 }
 
-// unhold returns a held piece that goes on where the answer stands, and forgets those that were overtaken.
-func (b *Buffer[P]) unhold() (piece P, found bool) {
+// nextHeld removes and returns a held piece that continues the answer, and discards held pieces without new tokens.
+func (b *Buffer[P]) nextHeld() (piece P, found bool) {
 	for index, held := range b.held {
 		if index > b.next {
 			continue
