--- a/internal/unread/stream_test.go
+++ b/internal/unread/stream_test.go
@@ -13,9 +13,9 @@
 	"github.com/hillfork/hillfork/internal/unread"
 )
 
-// TestAStreamThatPausesIsWhole has an answer pause, and end, long after its reader took the last of it: the time to take a part is not one
-// to wait for the next.
-func TestAStreamThatPausesIsWhole(t *testing.T) {
+// TestStreamPauseDoesNotTimeOut has an answer pause, and end, long after its reader has read the last part: the write
+// deadline applies to the reading of a part, not to the wait for the next one.
+func TestStreamPauseDoesNotTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const address = "10.1.0.1:80"
 		fabric := simnet.New(simnet.Options{})
--- a/internal/unread/unread_test.go
+++ b/internal/unread/unread_test.go
@@ -15,14 +15,14 @@
 
 func newBudget(bytes int64) *unread.Budget { return unread.New(bytes, log.New(io.Discard)) }
 
-// TestManyLargeAnswersLeaveRoomForSmallOnes answers 200 callers of 1 MB at a process of 144 MB, which is killed above that: answers get
-// smaller, and a caller of little is served.
-func TestManyLargeAnswersLeaveRoomForSmallOnes(t *testing.T) {
+// TestLargeAnswersLeaveMemoryForSmallOnes answers 200 callers with 1 MB each in a process of 144 MB, which is killed if it
+// exceeds that. Answers must get smaller, and a small answer must still be served.
+func TestLargeAnswersLeaveMemoryForSmallOnes(t *testing.T) {
 	budget := newBudget(memory)
-	var holds []*unread.Reservation
+	var reservations []*unread.Reservation
 	for caller := range 200 {
-		if hold, ok := budget.Reserve(megabyte, 1); ok {
-			holds = append(holds, hold)
+		if reservation, ok := budget.Reserve(megabyte, 1); ok {
+			reservations = append(reservations, reservation)
 		}
 		if held := budget.Stats().Held; held > memory*15/100 {
 			t.Fatalf("%d bytes held", held)
@@ -35,40 +35,41 @@
 			small.Release()
 		}
 	}
-	if holds[0].Bytes() != megabyte {
-		t.Errorf("the first answer has %d bytes", holds[0].Bytes())
+	if reservations[0].Bytes() != megabyte {
+		t.Errorf("the first answer has %d bytes", reservations[0].Bytes())
 	}
-	for _, hold := range holds {
-		hold.Release()
+	for _, reservation := range reservations {
+		reservation.Release()
 	}
 	if held := budget.Stats().Held; held != 0 {
-		t.Errorf("%d bytes held after all", held)
+		t.Errorf("%d bytes held after all releases", held)
 	}
 }
 
-// TestWhatDoesNotFitIsRefused checks that an answer that can't be smaller is refused at once, and what has run is counted all the same.
-func TestWhatDoesNotFitIsRefused(t *testing.T) {
+// TestAnswerOverLimitIsRefused checks that an answer that can't be made smaller is refused at once, and that the answer of a
+// request that has already run is counted in any case.
+func TestAnswerOverLimitIsRefused(t *testing.T) {
 	budget := newBudget(memory)
 	run := budget.Charge(memory)
 	if !budget.Full() {
 		t.Error("not full")
 	}
 	if _, ok := budget.Reserve(1, 1); ok || budget.Stats().Refused != 1 {
-		t.Error("an answer was taken")
+		t.Error("an answer was accepted over the limit")
 	}
 	run.Release()
-	hold, ok := budget.Reserve(megabyte, megabyte)
-	if !ok || hold.Resize(memory) || hold.Bytes() != megabyte {
-		t.Error("an answer grew over the bound")
+	reservation, ok := budget.Reserve(megabyte, megabyte)
+	if !ok || reservation.Resize(memory) || reservation.Bytes() != megabyte {
+		t.Error("an answer grew beyond the limit")
 	}
 }
 
-// TestWithoutAStatedMemoryNothingIsBounded has a process whose settings state no memory answer as before.
-func TestWithoutAStatedMemoryNothingIsBounded(t *testing.T) {
+// TestNoLimitWithoutMemorySetting checks that a process without a configured memory size does not limit answers.
+func TestNoLimitWithoutMemorySetting(t *testing.T) {
 	budget := newBudget(0)
 	for range 200 {
-		hold, ok := budget.Reserve(megabyte, megabyte)
-		if !ok || !hold.Resize(2*megabyte) || budget.Full() {
+		reservation, ok := budget.Reserve(megabyte, megabyte)
+		if !ok || !reservation.Resize(2*megabyte) || budget.Full() {
 			t.Fatal("an answer was refused")
 		}
 	}
--- a/internal/unread/write.go
+++ b/internal/unread/write.go
@@ -8,15 +8,17 @@
 )
 
 const (
-	// CutAfter is how long a reader may take nothing. A reader that lost a packet or its processor goes on within 3 s. One that does not
-	// holds up the engine from which its answer streams, and engines cut such streams off after some seconds.
+	// CutAfter is how long a reader may read nothing. A reader that lost a packet or was not scheduled continues within 3 s.
+	// A reader that does not continue blocks the engine from which its answer streams, and engines abort such streams after
+	// several seconds.
 	CutAfter = 5 * time.Second
-	// chunkBytes is how many bytes a reader has to take within CutAfter, which is 13 KB/s: callers' links carry megabytes a second.
+	// chunkBytes is the number of bytes that a reader has to read within CutAfter, which is 13 KB/s: callers' links carry
+	// megabytes per second.
 	chunkBytes = 64 << 10
 )
 
-// Write writes a whole body in chunks. The error is os.ErrDeadlineExceeded if the reader was cut off; the caller must then abort the
-// answer, since it is not whole.
+// Write writes a whole body in chunks. The error is os.ErrDeadlineExceeded if the reader was too slow; the caller must then
+// abort the answer, since it is incomplete.
 func (b *Budget) Write(w http.ResponseWriter, content []byte) error {
 	controller := http.NewResponseController(w)
 	for {
@@ -34,10 +36,10 @@
 	}
 }
 
-// WithDeadline calls write, whose bytes the reader has to take within CutAfter. The error is os.ErrDeadlineExceeded if the reader was cut
-// off.
+// WithDeadline calls write, whose bytes the reader has to read within CutAfter. The error is os.ErrDeadlineExceeded if the
+// reader was too slow.
 func (b *Budget) WithDeadline(controller *http.ResponseController, write func() error) error {
-	if err := deadline(controller, time.Now().Add(CutAfter)); err != nil {
+	if err := setDeadline(controller, time.Now().Add(CutAfter)); err != nil {
 		return err
 	}
 	err := write()
@@ -50,21 +52,21 @@
 		return err
 	}
 	if err == nil {
-		// The next request on the connection has no deadline for its answer yet.
-		err = deadline(controller, time.Time{})
+		// The write deadline must not apply to the next request on the connection.
+		err = setDeadline(controller, time.Time{})
 	}
 	return err
 }
 
-// deadline sets the write deadline of a connection, if the connection supports one.
-func deadline(controller *http.ResponseController, at time.Time) error {
+// setDeadline sets the write deadline of a connection, if the connection supports one.
+func setDeadline(controller *http.ResponseController, at time.Time) error {
 	if err := controller.SetWriteDeadline(at); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return err
 	}
 	return nil
 }
 
-// flush sends what is buffered, if the connection supports that.
+// flush sends buffered data, if the connection supports that.
 func flush(controller *http.ResponseController) error {
 	if err := controller.Flush(); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return err
