--- a/internal/job/compress_test.go
+++ b/internal/job/compress_test.go
@@ -19,9 +19,9 @@
 	for _, value := range [][]byte{nil, {0}, []byte("text"), letters} {
 		compressed, err := compress(value)
 		is.NoErr(err)
-		back, err := decompress(compressed)
+		restored, err := decompress(compressed)
 		is.NoErr(err)
-		is.True(bytes.Equal(back, value))
+		is.True(bytes.Equal(restored, value))
 	}
 	compressed, err := compress(letters)
 	is.NoErr(err)
--- a/internal/job/index_test.go
+++ b/internal/job/index_test.go
@@ -27,13 +27,13 @@
 // TestIndexIndependentOfOrder checks that all processes agree on a job that was submitted twice, in whatever order they read
 // its records.
 func TestIndexIndependentOfOrder(t *testing.T) {
-	live := describeIndex(newIndex(t, indexHistory(t), false))
+	want := describeIndex(newIndex(t, indexHistory(t), false))
 	rapid.Check(t, func(t *rapid.T) {
 		records := indexHistory(t)
 		seed := rapid.Int64().Draw(t, "seed")
 		rand.New(rand.NewSource(seed)).Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
-		if got := describeIndex(newIndex(t, records, true)); got != live {
-			t.Fatalf("folded in another order:\n%s\nas appended:\n%s", got, live)
+		if got := describeIndex(newIndex(t, records, true)); got != want {
+			t.Fatalf("folded in another order:\n%s\nas appended:\n%s", got, want)
 		}
 	})
 }
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -114,7 +114,7 @@
 // TestFoldIndependentOfOrder applies the newest record of each key in a random order, as read by a process that starts late,
 // and compares the result with that of applying every record in the order of the log.
 func TestFoldIndependentOfOrder(t *testing.T) {
-	live := describe(fold(t, history(t)))
+	want := describe(fold(t, history(t)))
 	rapid.Check(t, func(t *rapid.T) {
 		newest := make(map[string]keyedlog.Record)
 		for _, record := range history(t) {
@@ -126,8 +126,8 @@
 		}
 		seed := rapid.Int64().Draw(t, "seed")
 		rand.New(rand.NewSource(seed)).Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
-		if got := describe(fold(t, records)); got != live {
-			t.Fatalf("folded in another order:\n%s\nas appended:\n%s", got, live)
+		if got := describe(fold(t, records)); got != want {
+			t.Fatalf("folded in another order:\n%s\nas appended:\n%s", got, want)
 		}
 	})
 }
--- a/internal/job/keys_test.go
+++ b/internal/job/keys_test.go
@@ -17,13 +17,13 @@
 		for _, from := range positions {
 			after := ResultsAfterKey("one", from)
 			for _, own := range keys[len(keys)-3:] {
-				if behind := own > after; behind != (position >= from) {
-					t.Errorf("%s sorts after %q: %t", own, after, behind)
+				if sortsAfter := own > after; sortsAfter != (position >= from) {
+					t.Errorf("%s sorts after %q: %t", own, after, sortsAfter)
 				}
 			}
-			plain := fmt.Sprint(ResultPrefix("one"), position)
-			if position >= from && plain <= after {
-				t.Errorf("%s does not sort after %q", plain, after)
+			unpadded := fmt.Sprint(ResultPrefix("one"), position)
+			if position >= from && unpadded <= after {
+				t.Errorf("%s does not sort after %q", unpadded, after)
 			}
 		}
 	}
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -282,7 +282,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				store := newStore()
-				gateway, cutOff := newNode(t, store, "gateway"), newNode(t, store, "cut off")
+				gateway, disconnected := newNode(t, store, "gateway"), newNode(t, store, "cut off")
 				synctest.Wait()
 				store.SetRule(func(call memorylog.Call) memorylog.Fault {
 					if call.Caller == "cut off" {
@@ -291,17 +291,17 @@
 					return memorylog.None
 				})
 				is.Equal(gateway.service.Submit(t.Context(), spec("one")), jobs.Done)
-				_, outcome := cutOff.service.Results(t.Context(), "one", 0, 0)
+				_, outcome := disconnected.service.Results(t.Context(), "one", 0, 0)
 				is.Equal(outcome, jobs.Unsure)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
-				is.Equal(cutOff.service.End(ctx, "one"), jobs.Unsure)
+				is.Equal(disconnected.service.End(ctx, "one"), jobs.Unsure)
 				store.Heal()
 				// A read that the store left open times out within this time.
 				time.Sleep(2500 * time.Millisecond)
-				_, outcome = cutOff.service.Results(t.Context(), "none", 0, 0)
+				_, outcome = disconnected.service.Results(t.Context(), "none", 0, 0)
 				is.Equal(outcome, jobs.NotFound)
-				_, outcome = cutOff.service.Results(t.Context(), "one", 0, 0)
+				_, outcome = disconnected.service.Results(t.Context(), "one", 0, 0)
 				is.Equal(outcome, jobs.Done)
 			})
 		})
--- a/internal/jobs/position_test.go
+++ b/internal/jobs/position_test.go
@@ -51,14 +51,14 @@
 // textOf returns the text of the result at a position.
 func textOf(position int) string { return fmt.Sprint("text ", position) }
 
-// listResults lists the results of the positions in [from, to). Results for which plain returns true get keys without zero
+// listResults lists the results of the positions in [from, to). Results for which unpadded returns true get keys without zero
 // padding.
-func (j *listedJob) listResults(t *testing.T, from, to int, plain func(position int) bool) {
+func (j *listedJob) listResults(t *testing.T, from, to int, unpadded func(position int) bool) {
 	t.Helper()
 	for position := from; position < to; position++ {
 		records, err := job.EncodeResult(
 			j.spec.ID, position, job.Result{ItemID: j.spec.Items[position].ID, Text: textOf(position)}, 1<<18)
-		if err == nil && plain(position) {
+		if err == nil && unpadded(position) {
 			records[0].Key = fmt.Sprint(job.ResultPrefix(j.spec.ID), position)
 		}
 		if err == nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-func padded(int) bool { return false }
+func noneUnpadded(int) bool { return false }
 
 // newListedJob submits a job with the given number of items, and waits until reads of it start with the newest record of
 // each key.
@@ -115,7 +115,7 @@
 		t.Run(fmt.Sprint("forgotten ", trimmed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				many := newListedJob(t, listed+10)
-				many.listResults(t, 0, listed, padded)
+				many.listResults(t, 0, listed, noneUnpadded)
 				if trimmed {
 					many.store.Forget()
 				}
@@ -134,10 +134,10 @@
 func TestNoReadsBetweenCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		many := newListedJob(t, 100)
-		many.listResults(t, 0, 10, padded)
+		many.listResults(t, 0, 10, noneUnpadded)
 		many.check(t, 10, 10)
 		before := many.log.records.Load()
-		many.listResults(t, 10, 50, padded)
+		many.listResults(t, 10, 50, noneUnpadded)
 		time.Sleep(5 * time.Second)
 		if records := many.log.records.Load() - before; records > 0 {
 			t.Errorf("%d records read between calls", records)
@@ -151,7 +151,7 @@
 func TestReaderKeptForReturningCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		many := newListedJob(t, 100)
-		many.listResults(t, 0, 10, padded)
+		many.listResults(t, 0, 10, noneUnpadded)
 		for range 2 {
 			many.check(t, 5, 10)
 			time.Sleep(500 * time.Millisecond)
@@ -165,7 +165,7 @@
 // them.
 func TestUnpaddedKeysAreRead(t *testing.T) {
 	const listed = 25
-	for name, plain := range map[string]func(position int) bool{
+	for name, unpadded := range map[string]func(position int) bool{
 		"all":   func(int) bool { return true },
 		"first": func(position int) bool { return position < 13 },
 		"last":  func(position int) bool { return position >= 13 },
@@ -174,7 +174,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				many := newListedJob(t, listed)
-				many.listResults(t, 0, listed, plain)
+				many.listResults(t, 0, listed, unpadded)
 				for _, from := range []int{20, 0, 1, 9, 10, 13, 24, 25} {
 					many.check(t, from, listed)
 					time.Sleep(3 * time.Second)
@@ -189,7 +189,7 @@
 func TestReadLowerPositionAfterHigher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		many := newListedJob(t, 40)
-		many.listResults(t, 0, 20, padded)
+		many.listResults(t, 0, 20, noneUnpadded)
 		for range 3 {
 			many.check(t, 18, 20)
 			many.check(t, 2, 20)
@@ -202,7 +202,7 @@
 		}()
 		time.Sleep(100 * time.Millisecond)
 		many.check(t, 0, 20)
-		many.listResults(t, 20, 21, padded)
+		many.listResults(t, 20, 21, noneUnpadded)
 		// The waiting call continues while another call reads from an earlier position.
 		if listing := <-waited; len(listing.Results) != 1 || listing.Next != 21 {
 			t.Errorf("%d results, next %d", len(listing.Results), listing.Next)
@@ -255,7 +255,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				many := newListedJob(t, items)
 				for span := range slices.Chunk(test.listed, 2) {
-					many.listResults(t, span[0], span[1], padded)
+					many.listResults(t, span[0], span[1], noneUnpadded)
 				}
 				many.settle(t, test.ended)
 				for range 3 {
