--- a/internal/answer/assembler.go
+++ b/internal/answer/assembler.go
@@ -31,7 +31,7 @@
 	secondEnds int
 }
 
-var eventShape = reorder.Shape[peerapi.ExecuteEvent]{
+var eventShape = reorder.Accessors[peerapi.ExecuteEvent]{
 	Index:  func(event peerapi.ExecuteEvent) int { return event.Index },
 	Length: func(event peerapi.ExecuteEvent) int { return len(event.Tokens) },
 	Skip: func(event peerapi.ExecuteEvent, tokens int) peerapi.ExecuteEvent {
--- a/internal/dispatch/assembler.go
+++ b/internal/dispatch/assembler.go
@@ -28,7 +28,7 @@
 	return &assembler{requestID: requestID, attempt: attempt, tokens: reorder.NewBuffer(chunkShape, resumed), total: -1}
 }
 
-var chunkShape = reorder.Shape[platform.Chunk]{
+var chunkShape = reorder.Accessors[platform.Chunk]{
 	Index:  func(chunk platform.Chunk) int { return chunk.Index },
 	Length: func(chunk platform.Chunk) int { return len(chunk.Tokens) },
 	Skip: func(chunk platform.Chunk, tokens int) platform.Chunk {
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -180,7 +180,7 @@
 // cleared takes that an engine outlived the request, if its signature says so.
 func (e *exchange) cleared(result *attempt) {
 	if result.reply.Stamp != "" {
-		e.forwarder.config.Quarantine.Answered(e.request.Call)
+		e.forwarder.config.Quarantine.ReportAnswered(e.request.Call)
 	}
 }
 
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -214,10 +214,10 @@
 	case err == nil, errors.Is(err, engineapi.ErrNotSent), errors.Is(context.Cause(ctx), errSettled):
 		return quarantine.Clear
 	case ctx.Err() != nil:
-		f.config.Quarantine.Silent(call, engine, took)
+		f.config.Quarantine.ReportSilent(call, engine, took)
 		return quarantine.Clear
 	}
-	return f.config.Quarantine.Broke(ctx, call, engine, err, strikes)
+	return f.config.Quarantine.ReportBroken(ctx, call, engine, err, strikes)
 }
 
 // Causes of requests that no attempt gave one for.
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -136,11 +136,11 @@
 	s.sentAt = time.Now()
 	result := eventrun.Run(ctx, s.forwarder.config.Client, engine, call, limits, s)
 	if result.Ending == eventrun.EndedBroken || result.Ending == eventrun.EndedSilent {
-		standing := s.forwarder.config.Quarantine.Broke(ctx, call, engine, result.Err, s.request.strikes())
+		standing := s.forwarder.config.Quarantine.ReportBroken(ctx, call, engine, result.Err, s.request.strikes())
 		s.withheld = standing == quarantine.Withheld
 	}
 	if result.Ending == eventrun.EndedSilent {
-		s.forwarder.config.Quarantine.Silent(call, engine, time.Since(s.sentAt))
+		s.forwarder.config.Quarantine.ReportSilent(call, engine, time.Since(s.sentAt))
 	}
 	return result
 }
@@ -177,7 +177,7 @@
 	switch result.Ending {
 	case eventrun.EndedWhole:
 		directory.Succeeded(engine.ID, 0)
-		s.forwarder.config.Quarantine.Answered(s.request.Call)
+		s.forwarder.config.Quarantine.ReportAnswered(s.request.Call)
 		return s.answer(Answered, engine), true
 	case eventrun.EndedNotRun:
 		s.sent--
--- a/internal/job/fold.go
+++ b/internal/job/fold.go
@@ -258,7 +258,7 @@
 	if text == nil {
 		return nil
 	}
-	if known, ok := found.progress[progress.ItemID]; ok && !text.Further(known) {
+	if known, ok := found.progress[progress.ItemID]; ok && !text.FurtherThan(known) {
 		return nil
 	}
 	found.progress[progress.ItemID] = text
@@ -266,9 +266,9 @@
 	return nil
 }
 
-// Further reports whether the progress is further advanced than known: the whole text wins over a part, then more events,
+// FurtherThan reports whether the progress is further advanced than known: the whole text wins over a part, then more events,
 // then a score.
-func (p *Progress) Further(known *Progress) bool {
+func (p *Progress) FurtherThan(known *Progress) bool {
 	if p.Whole != known.Whole {
 		return p.Whole
 	}
--- a/internal/job/index.go
+++ b/internal/job/index.go
@@ -32,8 +32,8 @@
 	// Settled reports that no more results of the job are listed; all of them lie below SettledEnd in the job's partition.
 	Settled    bool
 	SettledEnd int64
-	// Took is the time that the job's items held engine slots. It is known at the earliest once the job is settled.
-	Took Took
+	// SlotTime is the time that the job's items held engine slots. It is known at the earliest once the job is settled.
+	SlotTime SlotTime
 }
 
 // indexedJob is one job of the index.
@@ -101,7 +101,7 @@
 		}
 		found := x.job(id, record.Key)
 		found.status.Settled, found.status.SettledEnd = true, settled.End
-		found.status.Took = Took{
+		found.status.SlotTime = SlotTime{
 			Items: time.Duration(settled.ItemTime) * time.Millisecond, Longest: time.Duration(settled.LongestTime) * time.Millisecond,
 		}
 		return nil
@@ -208,9 +208,9 @@
 	return unsettled
 }
 
-// Start returns the offset from which an owner has to read a partition that ends at end: the offset of the earliest
+// StartOffset returns the offset from which an owner has to read a partition that ends at end: the offset of the earliest
 // unsettled job, or of the newest settled job if that is lower, since its texts may be reused.
-func (x *Index) Start(partition int, end int64) int64 {
+func (x *Index) StartOffset(partition int, end int64) int64 {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	start, newest := end, int64(-1)
@@ -230,8 +230,8 @@
 	return start
 }
 
-// Trained returns the jobs of each trained model, in order of acceptance.
-func (x *Index) Trained() map[string][]Status {
+// JobsByModel returns the jobs of each trained model, in order of acceptance.
+func (x *Index) JobsByModel() map[string][]Status {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	trained := make(map[string][]Status)
@@ -307,7 +307,7 @@
 
 // EncodeSettled returns the index record which states that no more results of a job are listed, and how long its items held
 // slots.
-func EncodeSettled(jobID string, end int64, took Took) (keyedlog.Record, error) {
+func EncodeSettled(jobID string, end int64, took SlotTime) (keyedlog.Record, error) {
 	settled := Settled{End: end, ItemTime: took.Items.Milliseconds(), LongestTime: took.Longest.Milliseconds()}
 	value, err := settled.MarshalMsg(nil)
 	return keyedlog.Record{Key: indexSettled + separator + jobID, Value: value}, err
--- a/internal/job/index_test.go
+++ b/internal/job/index_test.go
@@ -21,7 +21,7 @@
 		status.AcceptedAt, status.Estimated = time.Time{}, false
 		text += fmt.Sprintln(id, known, status)
 	}
-	return text + fmt.Sprintln(len(index.Unsettled(3)), index.Start(3, 30), index.Skipped())
+	return text + fmt.Sprintln(len(index.Unsettled(3)), index.StartOffset(3, 30), index.Skipped())
 }
 
 // TestIndexIndependentOfOrder checks that all processes agree on a job that was submitted twice, in whatever order they read
@@ -81,17 +81,17 @@
 		partition := keyedlog.Partition{Topic: keyedlog.TopicJobs, Number: 1}
 		apply(job.EncodeEntry(job.NewEntry(spec(fmt.Sprint("job", i), 1), partition, at, at+2, 100), "t"))
 	}
-	is.Equal(index.Start(1, 50), int64(10))
-	is.Equal(index.Start(2, 50), int64(50))
-	apply(job.EncodeSettled("job0", 25, job.Took{}))
-	apply(job.EncodeSettled("job1", 29, job.Took{}))
+	is.Equal(index.StartOffset(1, 50), int64(10))
+	is.Equal(index.StartOffset(2, 50), int64(50))
+	apply(job.EncodeSettled("job0", 25, job.SlotTime{}))
+	apply(job.EncodeSettled("job1", 29, job.SlotTime{}))
 	// The text of the newest settled job may be reused.
-	is.Equal(index.Start(1, 50), int64(20))
-	apply(job.EncodeSettled("job2", 45, job.Took{}))
-	apply(job.EncodeSettled("job3", 49, job.Took{}))
-	is.Equal(index.Start(1, 50), int64(40))
+	is.Equal(index.StartOffset(1, 50), int64(20))
+	apply(job.EncodeSettled("job2", 45, job.SlotTime{}))
+	apply(job.EncodeSettled("job3", 49, job.SlotTime{}))
+	is.Equal(index.StartOffset(1, 50), int64(40))
 	// A job that was submitted after the end of the partition was read does not affect the offset.
-	is.Equal(index.Start(1, 40), int64(30))
+	is.Equal(index.StartOffset(1, 40), int64(30))
 }
 
 // TestExpiredJobDropsAllRecords checks that dropping the keys of an expired job drops every record of it.
@@ -101,7 +101,7 @@
 	is.Equal(len(index.Expired(3, time.Now().Add(-time.Minute))), 0)
 	is.Equal(len(index.Expired(4, time.Now().Add(time.Minute))), 0)
 	is.Equal(len(index.Expired(3, time.Now().Add(time.Minute))), 1)
-	settled, err := job.EncodeSettled("one", 30, job.Took{})
+	settled, err := job.EncodeSettled("one", 30, job.SlotTime{})
 	is.NoErr(err)
 	settled.Offset = int64(len(indexHistory(t)))
 	is.NoErr(index.Apply(settled, false))
@@ -145,7 +145,7 @@
 		}
 		records = append(append(records, result...), progress...)
 	}
-	return append(records, job.EncodeLast(id))
+	return append(records, job.EncodeSettledMarker(id))
 }
 
 func TestIndexSkipsInvalidRecords(t *testing.T) {
@@ -171,7 +171,7 @@
 		index := newIndex(t, indexHistory(t), false)
 		_ = index.Apply(keyedlog.Record{Key: key, Value: value}, false)
 		_ = describeIndex(index)
-		_ = index.Trained()
+		_ = index.JobsByModel()
 	})
 }
 
@@ -194,6 +194,6 @@
 	is.Equal(len(index.Expired(3, later)), 0)
 	apply(job.EncodeEnd("one"), nil)
 	is.Equal(len(index.Expired(3, later)), 0)
-	apply(job.EncodeSettled("one", 9, job.Took{}))
+	apply(job.EncodeSettled("one", 9, job.SlotTime{}))
 	is.Equal(len(index.Expired(3, later)), 1)
 }
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -48,7 +48,7 @@
 	must(job.EncodeResult("one", 0, job.Result{ItemID: "one-3", Text: strings.Repeat("long ", 200), Versions: []int64{2, 3}}, recordLimit))
 	must(job.EncodeResult("one", 1, job.Result{ItemID: "one-0", Text: "short", Score: "s"}, recordLimit))
 	must(job.EncodeResult("two", 0, job.Result{ItemID: "two-1", Dead: true}, recordLimit))
-	records = append(records, job.EncodeLast("two"))
+	records = append(records, job.EncodeSettledMarker("two"))
 	for i := range records {
 		records[i].Offset = int64(i)
 	}
@@ -70,7 +70,7 @@
 	must(job.EncodeEntry(job.NewEntry(spec("two", 2), partition, 6, 9, 400), "m"))
 	must(job.EncodeEntry(job.NewEntry(spec("one", 5), partition, 9, 15, 1000), "a"))
 	must(job.EncodeEnd("two"), nil)
-	must(job.EncodeSettled("two", 21, job.Took{}))
+	must(job.EncodeSettled("two", 21, job.SlotTime{}))
 	return records
 }
 
--- a/internal/job/keys.go
+++ b/internal/job/keys.go
@@ -150,8 +150,8 @@
 	return value, err
 }
 
-// EncodeLast returns the record in a job's partition after which its owner lists no more results of it.
-func EncodeLast(jobID string) keyedlog.Record {
+// EncodeSettledMarker returns the record in a job's partition after which its owner lists no more results of it.
+func EncodeSettledMarker(jobID string) keyedlog.Record {
 	return keyedlog.Record{Key: settledKey(jobID), Value: []byte{1}}
 }
 
@@ -220,8 +220,8 @@
 	return append(records, keyedlog.Record{Key: key, Value: append(completing, value...)})
 }
 
-// Calls groups records into appends, none of which exceeds a limit in bytes unless a single record does.
-func Calls(records []keyedlog.Record, limit int) [][]keyedlog.Record {
+// SplitAppends groups records into appends, none of which exceeds a limit in bytes unless a single record does.
+func SplitAppends(records []keyedlog.Record, limit int) [][]keyedlog.Record {
 	var calls [][]keyedlog.Record
 	for len(records) > 0 {
 		count := 1
--- a/internal/job/ledger.go
+++ b/internal/job/ledger.go
@@ -54,9 +54,9 @@
 	Spec *Spec
 	// Listed is the number of results that can be read.
 	Listed int
-	// Progressed is the number of progress records applied so far that extended an item's progress.
-	Progressed int
-	Ended      bool
+	// ProgressCount is the number of progress records applied so far that extended an item's progress.
+	ProgressCount int
+	Ended         bool
 	// AcceptedAt is when the job was accepted. Estimated reports that it is based on the wall-clock time of another process.
 	AcceptedAt time.Time
 	Estimated  bool
@@ -83,7 +83,7 @@
 
 func (s *jobState) view(status Status) View {
 	return View{
-		Spec: s.spec, Listed: s.visible, Progressed: s.progressCount, Ended: status.Ended, AcceptedAt: status.AcceptedAt,
+		Spec: s.spec, Listed: s.visible, ProgressCount: s.progressCount, Ended: status.Ended, AcceptedAt: status.AcceptedAt,
 		Estimated: status.Estimated,
 	}
 }
@@ -172,8 +172,8 @@
 // OpenItem is an item that is not listed yet.
 type OpenItem struct {
 	Item Item
-	// Place is the index of the item in the submission.
-	Place    int
+	// Index is the index of the item in the submission.
+	Index    int
 	Progress *Progress
 }
 
@@ -189,7 +189,7 @@
 	var open []OpenItem
 	for itemIndex, item := range found.spec.Items {
 		if _, listed := found.listed[item.ID]; !listed {
-			open = append(open, OpenItem{Item: item, Place: itemIndex, Progress: found.progress[item.ID]})
+			open = append(open, OpenItem{Item: item, Index: itemIndex, Progress: found.progress[item.ID]})
 		}
 	}
 	return open
@@ -224,8 +224,8 @@
 	return slices.Sorted(maps.Keys(found.pieceKeys))
 }
 
-// Seen reports whether an item is part of another job.
-func (l *Ledger) Seen(jobID, itemID string) bool {
+// InOtherJob reports whether an item is part of another job.
+func (l *Ledger) InOtherJob(jobID, itemID string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for id, found := range l.fold.jobs {
@@ -236,9 +236,9 @@
 	return false
 }
 
-// Text returns the whole text of an item that was listed in another job, as progress without a score. It returns nil if
+// OtherJobText returns the whole text of an item that was listed in another job, as progress without a score. It returns nil if
 // there is none.
-func (l *Ledger) Text(jobID, itemID string) *Progress {
+func (l *Ledger) OtherJobText(jobID, itemID string) *Progress {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for id, found := range l.fold.jobs {
--- a/internal/job/lines.go
+++ b/internal/job/lines.go
@@ -23,7 +23,7 @@
 	switch {
 	case piece.From > 0:
 		found.pieces[piece.From] = piece
-	case found.text == nil || piece.Further(found.text):
+	case found.text == nil || piece.FurtherThan(found.text):
 		found.text = piece
 	}
 	found.extend()
--- a/internal/job/records.go
+++ b/internal/job/records.go
@@ -93,9 +93,9 @@
 	LongestTime int64 `msg:"longest"`
 }
 
-// Took is the time that a job's items held engine slots. The zero value means that it is unknown: no owner ran the job from
+// SlotTime is the time that a job's items held engine slots. The zero value means that it is unknown: no owner ran the job from
 // start to end.
-type Took struct {
+type SlotTime struct {
 	// Items is the sum over all items.
 	Items time.Duration
 	// Longest is the maximum over the items of complete groups.
--- a/internal/job/records_gen.go
+++ b/internal/job/records_gen.go
@@ -1696,6 +1696,134 @@
 	return
 }
 
+// DecodeMsg implements msgp.Decodable
+func (z *SlotTime) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "Items":
+			z.Items, err = dc.ReadDuration()
+			if err != nil {
+				err = msgp.WrapError(err, "Items")
+				return
+			}
+		case "Longest":
+			z.Longest, err = dc.ReadDuration()
+			if err != nil {
+				err = msgp.WrapError(err, "Longest")
+				return
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z SlotTime) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 2
+	// write "Items"
+	err = en.Append(0x82, 0xa5, 0x49, 0x74, 0x65, 0x6d, 0x73)
+	if err != nil {
+		return
+	}
+	err = en.WriteDuration(z.Items)
+	if err != nil {
+		err = msgp.WrapError(err, "Items")
+		return
+	}
+	// write "Longest"
+	err = en.Append(0xa7, 0x4c, 0x6f, 0x6e, 0x67, 0x65, 0x73, 0x74)
+	if err != nil {
+		return
+	}
+	err = en.WriteDuration(z.Longest)
+	if err != nil {
+		err = msgp.WrapError(err, "Longest")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z SlotTime) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "Items"
+	o = append(o, 0x82, 0xa5, 0x49, 0x74, 0x65, 0x6d, 0x73)
+	o = msgp.AppendDuration(o, z.Items)
+	// string "Longest"
+	o = append(o, 0xa7, 0x4c, 0x6f, 0x6e, 0x67, 0x65, 0x73, 0x74)
+	o = msgp.AppendDuration(o, z.Longest)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *SlotTime) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "Items":
+			z.Items, bts, err = msgp.ReadDurationBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Items")
+				return
+			}
+		case "Longest":
+			z.Longest, bts, err = msgp.ReadDurationBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Longest")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z SlotTime) Msgsize() (s int) {
+	s = 1 + 6 + msgp.DurationSize + 8 + msgp.DurationSize
+	return
+}
+
 // DecodeMsg implements msgp.Decodable
 func (z *Spec) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
@@ -2062,131 +2190,3 @@
 	}
 	return
 }
-
-// DecodeMsg implements msgp.Decodable
-func (z *Took) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "Items":
-			z.Items, err = dc.ReadDuration()
-			if err != nil {
-				err = msgp.WrapError(err, "Items")
-				return
-			}
-		case "Longest":
-			z.Longest, err = dc.ReadDuration()
-			if err != nil {
-				err = msgp.WrapError(err, "Longest")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z Took) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "Items"
-	err = en.Append(0x82, 0xa5, 0x49, 0x74, 0x65, 0x6d, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteDuration(z.Items)
-	if err != nil {
-		err = msgp.WrapError(err, "Items")
-		return
-	}
-	// write "Longest"
-	err = en.Append(0xa7, 0x4c, 0x6f, 0x6e, 0x67, 0x65, 0x73, 0x74)
-	if err != nil {
-		return
-	}
-	err = en.WriteDuration(z.Longest)
-	if err != nil {
-		err = msgp.WrapError(err, "Longest")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z Took) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "Items"
-	o = append(o, 0x82, 0xa5, 0x49, 0x74, 0x65, 0x6d, 0x73)
-	o = msgp.AppendDuration(o, z.Items)
-	// string "Longest"
-	o = append(o, 0xa7, 0x4c, 0x6f, 0x6e, 0x67, 0x65, 0x73, 0x74)
-	o = msgp.AppendDuration(o, z.Longest)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Took) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "Items":
-			z.Items, bts, err = msgp.ReadDurationBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Items")
-				return
-			}
-		case "Longest":
-			z.Longest, bts, err = msgp.ReadDurationBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Longest")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Took) Msgsize() (s int) {
-	s = 1 + 6 + msgp.DurationSize + 8 + msgp.DurationSize
-	return
-}
--- a/internal/jobrun/execution.go
+++ b/internal/jobrun/execution.go
@@ -113,7 +113,7 @@
 
 func newExecution(r *runner, view job.View, open job.OpenItem, carried bool) *execution {
 	e := &execution{
-		runner: r, view: view, item: open.Item, ordinal: open.Place,
+		runner: r, view: view, item: open.Item, ordinal: open.Index,
 		rank: Rank{Carried: carried, Length: open.Item.LengthHint},
 	}
 	if open.Progress != nil && fits(open.Progress.Versions, view.Spec.MinVersion) {
@@ -223,7 +223,7 @@
 			continue
 		}
 		if runCtx.Err() != nil {
-			e.runner.config.Quarantine.NotRun(e.call())
+			e.runner.config.Quarantine.ReportNotRun(e.call())
 			cancel()
 			place.Release()
 			continue
--- a/internal/jobrun/judge.go
+++ b/internal/jobrun/judge.go
@@ -24,7 +24,7 @@
 	switch result.Ending {
 	case eventrun.EndedWhole:
 		directory.Succeeded(e.engine.ID, 0)
-		e.runner.config.Quarantine.Answered(e.call())
+		e.runner.config.Quarantine.ReportAnswered(e.call())
 		e.runner.learnLength(e.item.LengthHint, len(e.events))
 		return true, true
 	case eventrun.EndedNotRun:
@@ -38,9 +38,9 @@
 		if !directory.Loading(e.engine.ID, e.view.Spec.Model) {
 			directory.Failed(e.engine.ID, policy.FailureInWork, result.Cause())
 		}
-		e.runner.config.Quarantine.Broke(ctx, e.call(), e.engine, result.Err, policy.ItemStrikes)
+		e.runner.config.Quarantine.ReportBroken(ctx, e.call(), e.engine, result.Err, policy.ItemStrikes)
 		if result.Ending == eventrun.EndedSilent {
-			e.runner.config.Quarantine.Silent(e.call(), e.engine, gapLeast)
+			e.runner.config.Quarantine.ReportSilent(e.call(), e.engine, gapLeast)
 		}
 	}
 	return false, false
@@ -50,7 +50,7 @@
 // was turned away often waits.
 func (e *execution) turnedAway(result eventrun.Result) {
 	e.exclude, e.refused = []string{e.engine.ID}, true
-	e.runner.config.Quarantine.NotRun(e.call())
+	e.runner.config.Quarantine.ReportNotRun(e.call())
 	directory := e.runner.config.Directory
 	if result.Err != nil {
 		directory.Failed(e.engine.ID, policy.FailureToConnect, result.Cause())
--- a/internal/jobrun/leftovers.go
+++ b/internal/jobrun/leftovers.go
@@ -9,7 +9,7 @@
 func (r *runner) carriedGroups(spec *job.Spec) map[string]bool {
 	carried := make(map[string]bool)
 	for _, item := range spec.Items {
-		if !carried[item.Group] && r.ledger.Seen(spec.ID, item.ID) {
+		if !carried[item.Group] && r.ledger.InOtherJob(spec.ID, item.ID) {
 			carried[item.Group] = true
 		}
 	}
@@ -19,14 +19,14 @@
 // kept returns what is there of an item's text from an earlier job, nil if the job does not allow its versions or it is no further than
 // the item's own progress.
 func (r *runner) kept(spec *job.Spec, open job.OpenItem) *job.Progress {
-	earlier := r.ledger.Text(spec.ID, open.Item.ID)
+	earlier := r.ledger.OtherJobText(spec.ID, open.Item.ID)
 	if earlier == nil {
 		earlier = r.leftovers[open.Item.ID]
 	}
 	if earlier == nil || !fits(earlier.Versions, spec.MinVersion) {
 		return nil
 	}
-	if open.Progress != nil && !earlier.Further(open.Progress) {
+	if open.Progress != nil && !earlier.FurtherThan(open.Progress) {
 		return nil
 	}
 	return earlier
--- a/internal/jobrun/partition.go
+++ b/internal/jobrun/partition.go
@@ -49,7 +49,7 @@
 // follow reads the partition from the earliest job on of which more may be listed, up to its end, and returns a follower of what
 // comes after. Items run once all is read, so that it is read in several parts at once; if one fails, the follower reads it all.
 func (r *runner) follow(ctx context.Context, end int64) *follow.Follower {
-	r.covered = r.config.Index.Start(r.partition.Number, end)
+	r.covered = r.config.Index.StartOffset(r.partition.Number, end)
 	from := end
 	if err := follow.RangeTogether(ctx, r.config.Log, r.partition, r.covered, end, applier{r}); err != nil {
 		errorlog.Debug(r.config.Logger, "partition not read at once", err, "partition", r.partition, "from", r.covered, "end", end)
@@ -106,7 +106,7 @@
 }
 
 // announceSettled writes to the index that a job is settled, until it is there.
-func (r *runner) announceSettled(ctx context.Context, id string, end int64, took job.Took) {
+func (r *runner) announceSettled(ctx context.Context, id string, end int64, took job.SlotTime) {
 	record, err := job.EncodeSettled(id, end, took)
 	if err != nil {
 		errorlog.Error(r.config.Logger, "settled job does not encode", err, "job", id)
--- a/internal/jobrun/partition_test.go
+++ b/internal/jobrun/partition_test.go
@@ -244,9 +244,9 @@
 				time.Sleep(4 * time.Second)
 				status, _ := second.index.Job("one")
 				is.True(status.Settled)
-				took := status.Took
+				took := status.SlotTime
 				if test.handedOver {
-					is.Equal(took, job.Took{})
+					is.Equal(took, job.SlotTime{})
 					second.release()
 					return
 				}
--- a/internal/jobrun/runner.go
+++ b/internal/jobrun/runner.go
@@ -77,7 +77,7 @@
 			Log: h.config.Log, Partition: partition, Name: writerName, Generation: generation, Logger: h.config.Logger,
 		}), h.config.Limits, h.config.Logger),
 		jobs: make(map[string]*runningJob), settling: make(map[string]bool), leftovers: make(map[string]*job.Progress),
-		took: make(map[string]job.Took),
+		took: make(map[string]job.SlotTime),
 	}
 	runner.active.Add(1)
 	go func() {
@@ -111,7 +111,7 @@
 	// leftovers holds the text of items of ended jobs that were not listed.
 	leftovers map[string]*job.Progress
 	// took is what ended jobs took of engines that are not settled yet.
-	took map[string]job.Took
+	took map[string]job.SlotTime
 }
 
 type runningJob struct {
@@ -212,7 +212,7 @@
 			r.jobs[view.Spec.ID] = r.start(ctx, view)
 			continue
 		}
-		if view.Progressed > running.progressed {
+		if view.ProgressCount > running.progressed {
 			r.adopt(view, running)
 		}
 	}
@@ -230,7 +230,7 @@
 
 // adopt hands progress that another owner has kept to the items that have not come as far.
 func (r *runner) adopt(view job.View, running *runningJob) {
-	running.progressed = view.Progressed
+	running.progressed = view.ProgressCount
 	for _, open := range r.ledger.Open(view.Spec.ID) {
 		if execution, ok := running.items[open.Item.ID]; ok && open.Progress != nil {
 			execution.adopt(open.Progress)
@@ -244,8 +244,8 @@
 	r.learnListed(view)
 	jobCtx, cancel := context.WithCancel(ctx)
 	running := &runningJob{
-		cancel: cancel, spec: view.Spec, items: make(map[string]*execution), progressed: view.Progressed,
-		whole: view.Listed == 0 && view.Progressed == 0, carried: r.carriedGroups(view.Spec), critical: &criticalEvents{},
+		cancel: cancel, spec: view.Spec, items: make(map[string]*execution), progressed: view.ProgressCount,
+		whole: view.Listed == 0 && view.ProgressCount == 0, carried: r.carriedGroups(view.Spec), critical: &criticalEvents{},
 	}
 	openItems := r.ledger.Open(view.Spec.ID)
 	for _, open := range openItems {
@@ -361,7 +361,7 @@
 
 // appendUnfenced appends records, each call until it is done or the context ends.
 func (r *runner) appendUnfenced(ctx context.Context, records []keyedlog.Record) error {
-	calls := job.Calls(records, r.config.Limits.CallBytes)
+	calls := job.SplitAppends(records, r.config.Limits.CallBytes)
 	for len(calls) > 0 {
 		if _, err := r.config.Log.Append(ctx, r.partition, calls[0], nil); err != nil {
 			if !pause.For(ctx, appendPause) {
--- a/internal/jobrun/score.go
+++ b/internal/jobrun/score.go
@@ -38,7 +38,7 @@
 			return "", false
 		}
 		if answer.Outcome == forward.NotRun {
-			e.runner.config.Quarantine.NotRun(request.Call)
+			e.runner.config.Quarantine.ReportNotRun(request.Call)
 		}
 		if answer.Outcome == forward.Withheld {
 			pause.For(ctx, min(answer.RetryAfter, withheldLook))
--- a/internal/jobrun/took.go
+++ b/internal/jobrun/took.go
@@ -7,7 +7,7 @@
 )
 
 // takeTook returns what a job that is about to be settled took of engines, and forgets it.
-func (r *runner) takeTook(id string) job.Took {
+func (r *runner) takeTook(id string) job.SlotTime {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if running, ok := r.jobs[id]; ok {
@@ -19,8 +19,8 @@
 }
 
 // took returns what the job has taken of engines up to a moment, the zero value if another owner has run a part of it.
-func (j *runningJob) took(now time.Time) job.Took {
-	var took job.Took
+func (j *runningJob) took(now time.Time) job.SlotTime {
+	var took job.SlotTime
 	if !j.whole {
 		return took
 	}
--- a/internal/jobrun/writer.go
+++ b/internal/jobrun/writer.go
@@ -75,10 +75,10 @@
 	w.mutex.Lock()
 	w.closed[jobID] = true
 	w.mutex.Unlock()
-	for _, records := range job.Calls(dropped(needless), w.limits.CallBytes) {
+	for _, records := range job.SplitAppends(dropped(needless), w.limits.CallBytes) {
 		w.push(entry{records: records})
 	}
-	w.push(entry{records: []keyedlog.Record{job.EncodeLast(jobID)}, done: done})
+	w.push(entry{records: []keyedlog.Record{job.EncodeSettledMarker(jobID)}, done: done})
 }
 
 // keep queues records of a job that need no position. Those of a job that was closed are dropped.
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -170,9 +170,9 @@
 	})
 }
 
-// Permit reports whether a tenant may access a job: Done if it may, NotFound for a job of another tenant. An empty tenant
+// Authorize reports whether a tenant may access a job: Done if it may, NotFound for a job of another tenant. An empty tenant
 // means that callers have no tenants; such a caller may access any job.
-func (s *Service) Permit(ctx context.Context, id, tenant string) Outcome {
+func (s *Service) Authorize(ctx context.Context, id, tenant string) Outcome {
 	status, outcome := s.lookUp(ctx, id)
 	if outcome != Done {
 		return outcome
@@ -184,9 +184,9 @@
 	return Done
 }
 
-// Public reports whether a job was submitted without a key, as on a public route, so that every caller may access it. It
+// IsPublic reports whether a job was submitted without a key, as on a public route, so that every caller may access it. It
 // returns false for a job that is not in this node's index.
-func (s *Service) Public(id string) bool {
+func (s *Service) IsPublic(id string) bool {
 	status, known := s.config.Index.Job(id)
 	return known && status.Entry.Tenant == ""
 }
@@ -244,7 +244,7 @@
 	ctx context.Context, partition keyedlog.Partition, records []keyedlog.Record,
 ) (offset, next int64, err error) {
 	offset = -1
-	for _, call := range job.Calls(records, s.config.CallBytes) {
+	for _, call := range job.SplitAppends(records, s.config.CallBytes) {
 		appended, err := s.config.Log.Append(ctx, partition, call, nil)
 		if err != nil {
 			return 0, 0, err
--- a/internal/jobs/position_test.go
+++ b/internal/jobs/position_test.go
@@ -274,11 +274,11 @@
 func (j *listedJob) settle(t *testing.T, ended bool) {
 	t.Helper()
 	owner := j.store.For("owner")
-	last, err := owner.Append(t.Context(), job.PartitionOf(j.spec, partitions, nil), []keyedlog.Record{job.EncodeLast(j.spec.ID)}, nil)
+	last, err := owner.Append(t.Context(), job.PartitionOf(j.spec, partitions, nil), []keyedlog.Record{job.EncodeSettledMarker(j.spec.ID)}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	record, err := job.EncodeSettled(j.spec.ID, last.End, job.Took{})
+	record, err := job.EncodeSettled(j.spec.ID, last.End, job.SlotTime{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/jobs/reader_test.go
+++ b/internal/jobs/reader_test.go
@@ -19,11 +19,11 @@
 func settle(t *testing.T, store *memorylog.Store, id string) {
 	t.Helper()
 	appended, err := store.For("owner").Append(
-		context.Background(), job.PartitionOf(spec(id), partitions, nil), []keyedlog.Record{job.EncodeLast(id)}, nil)
+		context.Background(), job.PartitionOf(spec(id), partitions, nil), []keyedlog.Record{job.EncodeSettledMarker(id)}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	record, err := job.EncodeSettled(id, appended.End, job.Took{})
+	record, err := job.EncodeSettled(id, appended.End, job.SlotTime{})
 	if err == nil {
 		_, err = store.For("owner").Append(context.Background(), keyedlog.JobIndex, []keyedlog.Record{record}, nil)
 	}
--- a/internal/jobs/thinlink_test.go
+++ b/internal/jobs/thinlink_test.go
@@ -102,7 +102,7 @@
 	if !size.complete {
 		return large
 	}
-	settled, err := job.EncodeSettled(large.ID, end, job.Took{})
+	settled, err := job.EncodeSettled(large.ID, end, job.SlotTime{})
 	if err == nil {
 		_, err = store.Append(t.Context(), keyedlog.JobIndex, []keyedlog.Record{settled}, nil)
 	}
--- a/internal/quarantine/admit.go
+++ b/internal/quarantine/admit.go
@@ -130,8 +130,8 @@
 	return ok && known.startTrial()
 }
 
-// NotRun reports that an admitted call was not run by any engine: if the call was a trial, the trial has not been made.
-func (q *Quarantine) NotRun(call engineapi.Call) {
+// ReportNotRun reports that an admitted call was not run by any engine: if the call was a trial, the trial has not been made.
+func (q *Quarantine) ReportNotRun(call engineapi.Call) {
 	if q == nil || q.Contents() == 0 {
 		return
 	}
--- a/internal/quarantine/forget.go
+++ b/internal/quarantine/forget.go
@@ -17,8 +17,8 @@
 	maxForgetPerAppend = 64
 )
 
-// Answered reports that an engine ran a call to completion: its content does not crash engines.
-func (q *Quarantine) Answered(call engineapi.Call) {
+// ReportAnswered reports that an engine ran a call to completion: its content does not crash engines.
+func (q *Quarantine) ReportAnswered(call engineapi.Call) {
 	if q == nil || q.idle() {
 		return
 	}
--- a/internal/quarantine/look.go
+++ b/internal/quarantine/look.go
@@ -24,11 +24,11 @@
 	Ended(ctx context.Context, engine fleet.Engine) bool
 }
 
-// Broke reports that a call was sent to an engine and that the engine's answer broke off or never arrived, with the given
+// ReportBroken reports that a call was sent to an engine and that the engine's answer broke off or never arrived, with the given
 // cause. It checks whether the engine has ended, and returns the standing of the call for that number of strikes. For the
 // first broken answer of a content, the check runs in the background while the call continues: if the engine's machine is
 // unreachable, the check takes 150 ms, as long as callers wait for a whole answer.
-func (q *Quarantine) Broke(ctx context.Context, call engineapi.Call, engine fleet.Engine, cause error, strikes int) Standing {
+func (q *Quarantine) ReportBroken(ctx context.Context, call engineapi.Call, engine fleet.Engine, cause error, strikes int) Standing {
 	if q == nil {
 		return Clear
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -99,7 +99,7 @@
 	engine := fleet.Engine{ID: engineID, Pool: "p"}
 	m.directory.Upsert(engine)
 	m.world.end(engineID)
-	standing := m.Broke(m.world.ctx, crashing, engine, errConnReset, policy.RequestStrikes)
+	standing := m.ReportBroken(m.world.ctx, crashing, engine, errConnReset, policy.RequestStrikes)
 	time.Sleep(20 * time.Millisecond)
 	return standing
 }
@@ -157,14 +157,14 @@
 		for i := range 5 {
 			engine := fleet.Engine{ID: fmt.Sprint("living", i)}
 			m.directory.Upsert(engine)
-			m.Broke(w.ctx, call("x"), engine, errConnReset, policy.RequestStrikes)
+			m.ReportBroken(w.ctx, call("x"), engine, errConnReset, policy.RequestStrikes)
 			engine = fleet.Engine{ID: fmt.Sprint("leaving", i), Draining: true}
 			m.directory.Upsert(engine)
 			w.end(engine.ID)
-			m.Broke(w.ctx, call("x"), engine, errConnReset, policy.RequestStrikes)
+			m.ReportBroken(w.ctx, call("x"), engine, errConnReset, policy.RequestStrikes)
 			engine = fleet.Engine{ID: fmt.Sprint("unlisted", i)}
 			w.end(engine.ID)
-			m.Broke(w.ctx, call("x"), engine, errConnReset, policy.RequestStrikes)
+			m.ReportBroken(w.ctx, call("x"), engine, errConnReset, policy.RequestStrikes)
 			time.Sleep(time.Second)
 		}
 		is.Equal(m.standing("x"), quarantine.Clear)
@@ -179,7 +179,7 @@
 		w := newWorld(t)
 		first, second := w.machine("1"), w.machine("2")
 		first.crash("a", call("x"))
-		second.Answered(call("x"))
+		second.ReportAnswered(call("x"))
 		time.Sleep(time.Second)
 		is.Equal(first.standing("x"), quarantine.Clear)
 		first.crash("b", call("x"))
@@ -381,7 +381,7 @@
 				first, second := w.machine("1"), w.machine("2")
 				engine := fleet.Engine{ID: "old", Pool: "p", Address: "here"}
 				first.directory.Upsert(engine)
-				first.Silent(call("x"), engine, time.Second)
+				first.ReportSilent(call("x"), engine, time.Second)
 				time.Sleep(time.Second)
 				is.Equal(first.standing("x"), quarantine.Clear)
 				engine.Draining = test.leaves
@@ -413,7 +413,7 @@
 				machine := newWorld(t).machine("1")
 				engine := fleet.Engine{ID: "one", Pool: "p", Address: "here", StartedAt: time.UnixMilli(1000)}
 				machine.directory.Upsert(engine)
-				machine.Silent(call("x"), engine, time.Second)
+				machine.ReportSilent(call("x"), engine, time.Second)
 				time.Sleep(time.Second)
 				engine.StartedAt = test.started
 				machine.directory.Upsert(engine)
@@ -433,7 +433,7 @@
 		engine := fleet.Engine{ID: "old", Pool: "p", Address: "here"}
 		m.directory.Upsert(engine)
 		for i := range 1100 {
-			m.Silent(call(fmt.Sprint(i)), engine, time.Second)
+			m.ReportSilent(call(fmt.Sprint(i)), engine, time.Second)
 		}
 		m.directory.Upsert(fleet.Engine{ID: "new", Pool: "p", Address: "here"})
 		time.Sleep(time.Second)
@@ -453,12 +453,12 @@
 		engine := fleet.Engine{ID: "new", Pool: "p", Address: "here"}
 		m.directory.Upsert(fleet.Engine{ID: "old", Pool: "p", Address: "here"})
 		m.directory.Upsert(engine)
-		m.Silent(call("x"), engine, time.Second)
+		m.ReportSilent(call("x"), engine, time.Second)
 		time.Sleep(time.Second)
 		is.Equal(m.standing("x"), quarantine.Clear)
 
-		m.Silent(call("y"), engine, 100*time.Millisecond)
-		m.Answered(call("x"))
+		m.ReportSilent(call("y"), engine, 100*time.Millisecond)
+		m.ReportAnswered(call("x"))
 		m.directory.Upsert(fleet.Engine{ID: "newer", Pool: "p", Address: "here"})
 		time.Sleep(time.Second)
 		is.Equal(m.standing("x"), quarantine.Clear)
@@ -494,7 +494,7 @@
 		callers.Wait()
 		is.Equal(admitted, 1)
 		is.Equal(w.store.Appends(), appends+1)
-		m.Answered(call("x"))
+		m.ReportAnswered(call("x"))
 		is.Equal(m.standing("x"), quarantine.Clear)
 	})
 }
--- a/internal/quarantine/silence.go
+++ b/internal/quarantine/silence.go
@@ -32,9 +32,9 @@
 	knownIDs map[string]bool
 }
 
-// Silent reports that a call was abandoned after the engine it was sent to had not responded for the duration lasted. The
+// ReportSilent reports that a call was abandoned after the engine it was sent to had not responded for the duration lasted. The
 // engine has ended if another one appears at its address.
-func (q *Quarantine) Silent(call engineapi.Call, engine fleet.Engine, lasted time.Duration) {
+func (q *Quarantine) ReportSilent(call engineapi.Call, engine fleet.Engine, lasted time.Duration) {
 	if q == nil || lasted < minSilence {
 		return
 	}
--- a/internal/reorder/reorder.go
+++ b/internal/reorder/reorder.go
@@ -5,8 +5,8 @@
 // MaxHeld is the maximum number of pieces held while an earlier piece is missing; further ones are dropped.
 const MaxHeld = 256
 
-// Shape contains the functions that access a piece of type P.
-type Shape[P any] struct {
+// Accessors contains the functions that access a piece of type P.
+type Accessors[P any] struct {
 	// Index returns the position of the first token in the answer, Length the number of tokens.
 	Index  func(piece P) int
 	Length func(piece P) int
@@ -26,14 +26,14 @@
 
 // Buffer puts the pieces of one answer in order. It is not safe for concurrent use.
 type Buffer[P any] struct {
-	shape Shape[P]
+	shape Accessors[P]
 	next  int
 	held  map[int]P
 	drops Drops
 }
 
 // NewBuffer returns a buffer whose first token has the index next.
-func NewBuffer[P any](shape Shape[P], next int) *Buffer[P] {
+func NewBuffer[P any](shape Accessors[P], next int) *Buffer[P] {
 	return &Buffer[P]{shape: shape, next: next, held: make(map[int]P)}
 }
 
--- a/internal/replica/steploads.go
+++ b/internal/replica/steploads.go
@@ -29,10 +29,10 @@
 	for _, model := range r.models() {
 		steps[model] = nil
 	}
-	for model, jobs := range r.index.Trained() {
+	for model, jobs := range r.index.JobsByModel() {
 		for _, status := range jobs {
 			steps[model] = append(steps[model], policy.Step{
-				At: status.AcceptedAt, Tokens: float64(status.Entry.Work), Items: status.Took.Items, Longest: status.Took.Longest,
+				At: status.AcceptedAt, Tokens: float64(status.Entry.Work), Items: status.SlotTime.Items, Longest: status.SlotTime.Longest,
 				Open: !status.Ended && !status.Settled,
 			})
 		}
--- a/internal/unread/stream_test.go
+++ b/internal/unread/stream_test.go
@@ -35,7 +35,7 @@
 			if err != nil {
 				t.Error(err)
 			}
-			time.Sleep(2 * unread.CutAfter)
+			time.Sleep(2 * unread.WriteTimeout)
 		})}
 		go func() { _ = server.Serve(listener) }()
 		client := http.Client{Transport: &http.Transport{
--- a/internal/unread/write.go
+++ b/internal/unread/write.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// CutAfter is how long a reader may read nothing. A reader that lost a packet or was not scheduled continues within 3 s.
+	// WriteTimeout is how long a reader may read nothing. A reader that lost a packet or was not scheduled continues within 3 s.
 	// A reader that does not continue blocks the engine from which its answer streams, and engines abort such streams after
 	// several seconds.
-	CutAfter = 5 * time.Second
+	WriteTimeout = 5 * time.Second
 	// chunkBytes is the number of bytes that a reader has to read within CutAfter, which is 13 KB/s: callers' links carry
 	// megabytes per second.
 	chunkBytes = 64 << 10
@@ -39,7 +39,7 @@
 // WithDeadline calls write, whose bytes the reader has to read within CutAfter. The error is os.ErrDeadlineExceeded if the
 // reader was too slow.
 func (b *Budget) WithDeadline(controller *http.ResponseController, write func() error) error {
-	if err := setDeadline(controller, time.Now().Add(CutAfter)); err != nil {
+	if err := setDeadline(controller, time.Now().Add(WriteTimeout)); err != nil {
 		return err
 	}
 	err := write()
@@ -48,7 +48,7 @@
 		b.cut++
 		held := b.held
 		b.mutex.Unlock()
-		b.logger.Info("reader cut off, it took nothing", "after", CutAfter, "held", held)
+		b.logger.Info("reader cut off, it took nothing", "after", WriteTimeout, "held", held)
 		return err
 	}
 	if err == nil {
