--- a/internal/job/records.go
+++ b/internal/job/records.go
@@ -88,7 +88,7 @@
 type Settled struct {
 	// End is the offset in the job's partition below which all its results lie.
 	End int64 `msg:"end"`
-	// ItemTime and LongestTime are the fields of Took in milliseconds.
+	// ItemTime and LongestTime are Items and Longest of SlotTime in milliseconds.
 	ItemTime    int64 `msg:"took"`
 	LongestTime int64 `msg:"longest"`
 }
--- a/internal/unread/write.go
+++ b/internal/unread/write.go
@@ -12,7 +12,7 @@
 	// A reader that does not continue blocks the engine from which its answer streams, and engines abort such streams after
 	// several seconds.
 	WriteTimeout = 5 * time.Second
-	// chunkBytes is the number of bytes that a reader has to read within CutAfter, which is 13 KB/s: callers' links carry
+	// chunkBytes is the number of bytes that a reader has to read within WriteTimeout, which is 13 KB/s: callers' links carry
 	// megabytes per second.
 	chunkBytes = 64 << 10
 )
@@ -36,7 +36,7 @@
 	}
 }
 
-// WithDeadline calls write, whose bytes the reader has to read within CutAfter. The error is os.ErrDeadlineExceeded if the
+// WithDeadline calls write, whose bytes the reader has to read within WriteTimeout. The error is os.ErrDeadlineExceeded if the
 // reader was too slow.
 func (b *Budget) WithDeadline(controller *http.ResponseController, write func() error) error {
 	if err := setDeadline(controller, time.Now().Add(WriteTimeout)); err != nil {
