--- a/internal/job/ledger.go
+++ b/internal/job/ledger.go
@@ -172,7 +172,7 @@
 // OpenItem is an item that is not listed yet.
 type OpenItem struct {
 	Item Item
-	// Index is the position of the item among the items of the submission, counted from 0.
+	// Index is the index of the item in the submission, counted from 0.
 	Index    int
 	Progress *Progress
 }
--- a/internal/job/records.go
+++ b/internal/job/records.go
@@ -20,7 +20,7 @@
 	MinVersion int64 `msg:"min"`
 	// Desired is the number of complete groups that the trainer waits for.
 	Desired int `msg:"want"`
-	// SubmittedAt is the time of day of submission in milliseconds since 1970, at the node that accepted it.
+	// SubmittedAt is the wall-clock time of submission in milliseconds since 1970, at the node that accepted it.
 	SubmittedAt int64 `msg:"at"`
 	// Tenant is the tenant that owns the job, which never changes; empty if the job was submitted without a key.
 	Tenant string `msg:"tenant"`
@@ -69,7 +69,7 @@
 	Path string `msg:"path"`
 	// Model is the model that is trained; empty for a job without a trainer.
 	Model string `msg:"model"`
-	// SubmittedAt is the time of day of submission in milliseconds since 1970, at the node that accepted it.
+	// SubmittedAt is the wall-clock time of submission in milliseconds since 1970, at the node that accepted it.
 	SubmittedAt int64 `msg:"at"`
 	// Partition stores the job's records: the submission at offsets from Offset to before Next, all others from Next on.
 	Partition int   `msg:"part"`
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -42,7 +42,7 @@
 	histories map[Content]*history
 	// probes counts the checks of engines in progress by the content that the engine ran.
 	probes map[Content]int
-	// silentCalls are the calls that recently timed out without any response from the engine, oldest first.
+	// silentCalls are the calls that were recently abandoned because the engine did not respond, oldest first.
 	silentCalls []silentCall
 	// claims holds the contents for which this process is claiming a trial.
 	claims map[Content]bool
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -404,8 +404,8 @@
 		started  time.Time
 		standing quarantine.Standing
 	}{
-		"started again": {time.UnixMilli(2000), quarantine.Suspect},
-		"as it was":     {time.UnixMilli(1000), quarantine.Clear},
+		"restarted": {time.UnixMilli(2000), quarantine.Suspect},
+		"unchanged": {time.UnixMilli(1000), quarantine.Clear},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/reorder/reorder.go
+++ b/internal/reorder/reorder.go
@@ -10,7 +10,7 @@
 	// Index returns the position of the first token in the answer, Length the number of tokens.
 	Index  func(piece P) int
 	Length func(piece P) int
-	// Skip returns the piece without its first tokens.
+	// Skip returns the piece without its first tokens; the argument tokens is their number.
 	Skip func(piece P, tokens int) P
 }
 
@@ -26,15 +26,15 @@
 
 // Buffer puts the pieces of one answer in order. It is not safe for concurrent use.
 type Buffer[P any] struct {
-	shape Accessors[P]
-	next  int
-	held  map[int]P
-	drops Drops
+	accessors Accessors[P]
+	next      int
+	held      map[int]P
+	drops     Drops
 }
 
 // NewBuffer returns a buffer whose first token has the index next.
-func NewBuffer[P any](shape Accessors[P], next int) *Buffer[P] {
-	return &Buffer[P]{shape: shape, next: next, held: make(map[int]P)}
+func NewBuffer[P any](accessors Accessors[P], next int) *Buffer[P] {
+	return &Buffer[P]{accessors: accessors, next: next, held: make(map[int]P)}
 }
 
 // Next returns the index of the first token that has not arrived in order.
@@ -48,8 +48,8 @@
 
 // Add adds a piece and returns the pieces that are now ready, in order and without gaps or overlaps.
 func (b *Buffer[P]) Add(piece P) (ready []P) {
-	index := b.shape.Index(piece)
-	if index+b.shape.Length(piece) <= b.next {
+	index := b.accessors.Index(piece)
+	if index+b.accessors.Length(piece) <= b.next {
 		b.drops.Duplicate++
 		return nil
 	}
@@ -69,16 +69,16 @@
 
 // trim removes the tokens that have arrived before and advances the buffer past the piece.
 func (b *Buffer[P]) trim(piece P) P {
-	trimmed := b.shape.Skip(piece, b.next-b.shape.Index(piece))
-	b.next += b.shape.Length(trimmed)
+	trimmed := b.accessors.Skip(piece, b.next-b.accessors.Index(piece))
+	b.next += b.accessors.Length(trimmed)
 	return trimmed
 }
 
 func (b *Buffer[P]) hold(piece P) {
-	index := b.shape.Index(piece)
+	index := b.accessors.Index(piece)
 	known, exists := b.held[index]
 	switch {
-	case exists && b.shape.Length(known) >= b.shape.Length(piece):
+	case exists && b.accessors.Length(known) >= b.accessors.Length(piece):
 		b.drops.Duplicate++
 	case !exists && len(b.held) >= MaxHeld:
 		b.drops.Overflow++
@@ -95,7 +95,7 @@
 			continue
 		}
 		delete(b.held, index)
-		if index+b.shape.Length(held) > b.next {
+		if index+b.accessors.Length(held) > b.next {
 			return held, true
 		}
 		b.drops.Duplicate++
