--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -109,7 +109,7 @@
 		next := New(Config{
 			Settings: Settings{
 				Node: fmt.Sprint("node-", i), IP: "10.1.0.1", Zone: "zone-a", ProcessorShare: share, OrderLease: 3 * time.Second,
-				MemberLifetimeMin: time.Second, StoreReadsPerS: 4000,
+				MinMemberLifetime: time.Second, StoreReadsPerS: 4000,
 			},
 			Log: f.store.For(fmt.Sprint("node-", i)), Decoder: fleetDecoder{}, RecordBytes: 1 << 18, CallBytes: 1 << 20,
 			Logger: log.New(io.Discard),
--- a/internal/replica/groups.go
+++ b/internal/replica/groups.go
@@ -20,7 +20,7 @@
 // joinGroups has the partitions of jobs, weights and duties dealt among the replicas.
 func (r *Replica) joinGroups(runners, rollers ownership.Holder, reporting []duty.Duty) {
 	settings := r.config.Settings
-	lifetime := memberLifetime(settings.MemberLifetimeMin)
+	lifetime := memberLifetime(settings.MinMemberLifetime)
 	leased := max(lifetime, weightsShare*settings.OrderLease/weightsParts)
 	r.own(jobsGroup, lifetime, settings.ProcessorShare, holders{keyedlog.TopicJobs: runners})
 	r.metrics.member(r.managers[0].TakesPart)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -184,7 +184,7 @@
 		Log: r.config.Log, Counter: counter, Machine: holderName(r.config.Settings), Logger: r.config.Logger,
 	})
 	reporter := usage.NewReporter(usage.ReporterConfig{
-		Log: r.config.Log, Receiver: r.config.Usage, Windows: windows, Clock: clock, Late: r.config.Settings.UsageLate,
+		Log: r.config.Log, Receiver: r.config.Usage, Windows: windows, Clock: clock, Late: r.config.Settings.UsageReportLimit,
 		Logger: r.config.Logger,
 	})
 	return []duty.Duty{reporter}, counter
--- a/internal/replica/settings.go
+++ b/internal/replica/settings.go
@@ -28,15 +28,15 @@
 	OrderLease time.Duration
 	// Retention is how long results can be read after their job was submitted.
 	Retention time.Duration
-	// DrainBound is how long after a back end is known to leave it may get work.
-	DrainBound time.Duration
-	// MemberLifetimeMin is the shortest lifetime that the store's groups take.
-	MemberLifetimeMin time.Duration
+	// DrainLimit is how long after a back end is known to leave it may get work.
+	DrainLimit time.Duration
+	// MinMemberLifetime is the shortest lifetime that the store's groups take.
+	MinMemberLifetime time.Duration
 	// StoreReadsPerS is how many reads a second the store takes from all replicas together.
 	StoreReadsPerS float64
 	// KeyBound is how long a caller's key may work after it was taken away, 0 for as long as the store can't be reached.
 	KeyBound time.Duration
 	// UsageWindow is the length of a window of usage, UsageLate how long after its end it has to be reported.
-	UsageWindow time.Duration
-	UsageLate   time.Duration
+	UsageWindow      time.Duration
+	UsageReportLimit time.Duration
 }
