--- a/internal/weightroll/announcer.go
+++ b/internal/weightroll/announcer.go
@@ -9,103 +9,109 @@
 	"github.com/hillfork/hillfork/internal/keyedlog"
 )
 
-// announcementsMost bounds the announcements of one append, some 150 bytes each: a tenth of what the store takes in one call, and
-// more than engines of a pool load together.
-const announcementsMost = 1024
+// maxBatchSize limits the announcements in one append. At about 150 bytes each, a full batch is a tenth of what the
+// store accepts in one call, and it is more than the engines of a pool that load at the same time.
+const maxBatchSize = 1024
 
-// appender writes records to the partition of orders, until they are there or it can't write any more.
+// appender writes records to a partition of the weights topic. It retries until they are stored, and returns an error
+// when it cannot write any more.
 type appender interface {
 	Append(ctx context.Context, records []keyedlog.Record) (int64, error)
 }
 
-// announcer writes announcements. A partition takes one append at a time, so that those which wait are written together: on a slow
-// store each order would wait for all before it otherwise.
+// announcer writes announcements in batches. A partition accepts one append at a time, so all announcements that are
+// pending are written by the next one. With an append each, an order on a slow store would wait for all orders before
+// it.
 type announcer struct {
 	writer appender
-	// started is when the owner had its epoch, so that nobody before wrote any more; it is set before the first announcement.
-	started time.Time
-	// ordered holds when each engine's last order was announced, since then. Only the call that has the turn touches it.
-	ordered map[string]time.Duration
+	// epochStart is when the owner acquired its epoch; no earlier owner can write after it. It is set before the first
+	// announcement.
+	epochStart time.Time
+	// lastOrdered maps engine ids to the time since epochStart at which their last order was announced. Only the call
+	// that is writing accesses it.
+	lastOrdered map[string]time.Duration
 
 	mutex   sync.Mutex
-	waiting []*announcing
-	// writing says that a call of announce has the turn to write.
+	pending []*pendingAnnouncement
+	// writing is set while a call of announce is making an append or has been chosen to make the next one.
 	writing bool
 }
 
 func newAnnouncer(writer appender) *announcer {
-	return &announcer{writer: writer, ordered: make(map[string]time.Duration)}
+	return &announcer{writer: writer, lastOrdered: make(map[string]time.Duration)}
 }
 
-// announcing is a record on its way.
-type announcing struct {
+// pendingAnnouncement is an announcement that is being written.
+type pendingAnnouncement struct {
 	announcement Announcement
-	// turn is closed when its call is to make the next append, done once the record is written or failed.
-	turn, done chan struct{}
-	// began is from before the append that wrote it, took how long that took.
-	began time.Time
-	took  time.Duration
-	err   error
+	// mayWrite is closed when the call that created the announcement is to make the next append, done once the
+	// announcement has been written or has failed.
+	mayWrite, done chan struct{}
+	// startedAt is a time before the append that wrote the announcement, elapsed the duration of that append.
+	startedAt time.Time
+	elapsed   time.Duration
+	err       error
 }
 
-// record returns the record of an announcement that is about to be written, as it is at a moment. That an engine serves may be told after its
-// next order: the record tells when the newest one was announced all the same.
-func (a *announcer) record(announcement Announcement, began time.Time) (keyedlog.Record, error) {
+// record returns the record of an announcement that is about to be written at startedAt. An announcement that an engine
+// serves a version may be written after the engine's next order: its record still carries the time of the newest order.
+func (a *announcer) record(announcement Announcement, startedAt time.Time) (keyedlog.Record, error) {
 	id := announcement.EngineID
-	announcement.Written = began.Sub(a.started)
+	announcement.Written = startedAt.Sub(a.epochStart)
 	if !announcement.Serving {
-		a.ordered[id] = announcement.Written
+		a.lastOrdered[id] = announcement.Written
 	}
-	announcement.Ordered = a.ordered[id]
+	announcement.Ordered = a.lastOrdered[id]
 	value, err := announcement.MarshalMsg(nil)
 	if err != nil {
-		return keyedlog.Record{}, fmt.Errorf("announcement for %s: %w", id, err)
+		return keyedlog.Record{}, fmt.Errorf("encoding announcement for engine %s: %w", id, err)
 	}
 	return keyedlog.Record{Key: id, Value: value}, nil
 }
 
-// announce writes an announcement, and returns a moment before which it was not in the store and how long the append took from there. An
-// error is the end of all writing. A call makes the append with its own record and what waits beside it, and passes the turn on: the
-// window of its order runs, so it must not wait for what comes later.
-func (a *announcer) announce(ctx context.Context, announcement Announcement) (began time.Time, took time.Duration, err error) {
-	own := &announcing{announcement: announcement, turn: make(chan struct{}), done: make(chan struct{})}
+// announce writes an announcement. It returns a time at which the announcement was not in the store yet, and the
+// duration of the append from there. After an error nothing can be written any more. A call makes at most one append,
+// with its own record and those pending with it, and then lets the next pending call write: the send window of its own
+// order is running, so it must not wait for later announcements.
+func (a *announcer) announce(ctx context.Context, announcement Announcement) (startedAt time.Time, elapsed time.Duration, err error) {
+	own := &pendingAnnouncement{announcement: announcement, mayWrite: make(chan struct{}), done: make(chan struct{})}
 	a.mutex.Lock()
-	a.waiting = append(a.waiting, own)
+	a.pending = append(a.pending, own)
 	if !a.writing {
-		a.pass()
+		a.wakeNext()
 	}
 	a.mutex.Unlock()
 	select {
-	case <-own.turn:
+	case <-own.mayWrite:
 		a.write(ctx)
 	case <-own.done:
 	}
-	return own.began, own.took, own.err
+	return own.startedAt, own.elapsed, own.err
 }
 
-// write makes one append and passes the turn on. The caller's own record is the first that waits.
+// write makes one append and then lets the next pending call write. The first pending announcement is the caller's own.
 func (a *announcer) write(ctx context.Context) {
-	batch := a.take()
-	began := time.Now()
-	records, err := a.records(batch, began)
+	batch := a.nextBatch()
+	startedAt := time.Now()
+	records, err := a.records(batch, startedAt)
 	if err == nil {
 		_, err = a.writer.Append(ctx, records)
 	}
-	took := time.Since(began)
+	elapsed := time.Since(startedAt)
 	for _, written := range batch {
-		written.began, written.took, written.err = began, took, err
+		written.startedAt, written.elapsed, written.err = startedAt, elapsed, err
 		close(written.done)
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.pass()
+	a.wakeNext()
 }
 
-// records returns the records of announcements that are about to be written.
-func (a *announcer) records(batch []*announcing, began time.Time) ([]keyedlog.Record, error) {
+// records returns the records of a batch that is about to be written at startedAt.
+func (a *announcer) records(batch []*pendingAnnouncement, startedAt time.Time) ([]keyedlog.Record, error) {
 	records := make([]keyedlog.Record, len(batch))
 	for i, next := range batch {
-		record, err := a.record(next.announcement, began)
+		record, err := a.record(next.announcement, startedAt)
 		if err != nil {
 			return nil, err
 		}
@@ -114,20 +120,21 @@
 	return records, nil
 }
 
-// take returns the announcements to write next.
-func (a *announcer) take() []*announcing {
+// nextBatch removes and returns the announcements to write next.
+func (a *announcer) nextBatch() []*pendingAnnouncement {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	count := min(len(a.waiting), announcementsMost)
-	batch := a.waiting[:count:count]
-	a.waiting = a.waiting[count:]
+	count := min(len(a.pending), maxBatchSize)
+	batch := a.pending[:count:count]
+	a.pending = a.pending[count:]
 	return batch
 }
 
-// pass gives the turn to the first that waits. If none waits, nobody has it. The mutex must be held.
-func (a *announcer) pass() {
-	a.writing = len(a.waiting) > 0
+// wakeNext lets the call with the first pending announcement write, or clears writing if there is none. The caller must
+// hold the mutex.
+func (a *announcer) wakeNext() {
+	a.writing = len(a.pending) > 0
 	if a.writing {
-		close(a.waiting[0].turn)
+		close(a.pending[0].mayWrite)
 	}
 }
--- a/internal/weightroll/announcer_test.go
+++ b/internal/weightroll/announcer_test.go
@@ -14,84 +14,84 @@
 	"github.com/matryer/is"
 )
 
-// slowAppender takes a while for each append and counts them.
+// slowAppender delays each append and records it.
 type slowAppender struct {
-	took time.Duration
-	err  error
+	appendTime time.Duration
+	err        error
 
 	mutex   sync.Mutex
 	appends [][]keyedlog.Record
 }
 
 func (a *slowAppender) Append(_ context.Context, records []keyedlog.Record) (int64, error) {
-	time.Sleep(a.took)
+	time.Sleep(a.appendTime)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.appends = append(a.appends, records)
 	return 0, a.err
 }
 
-// TestAnnouncementsThatWaitShareAnAppend checks that what comes during an append is written by the next one, in order, however much it
-// is, and that each caller learns a moment before its own append.
-func TestAnnouncementsThatWaitShareAnAppend(t *testing.T) {
+// TestPendingAnnouncementsShareAnAppend checks that announcements made during an append are written by the next one, in
+// order and up to maxBatchSize, and that each caller gets the start time of its own append.
+func TestPendingAnnouncementsShareAnAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		const later = announcementsMost + 10
-		writer := &slowAppender{took: 200 * time.Millisecond}
+		const queued = maxBatchSize + 10
+		writer := &slowAppender{appendTime: 200 * time.Millisecond}
 		a := newAnnouncer(writer)
 		started := time.Now()
 		var running sync.WaitGroup
 		announce := func(name string, began time.Duration) {
 			running.Go(func() {
-				from, took, err := a.announce(t.Context(), Announcement{EngineID: name})
+				startedAt, appendTime, err := a.announce(t.Context(), Announcement{EngineID: name})
 				is.NoErr(err)
-				is.Equal(from.Sub(started), began)
-				is.Equal(took, writer.took)
+				is.Equal(startedAt.Sub(started), began)
+				is.Equal(appendTime, writer.appendTime)
 			})
 			synctest.Wait()
 		}
 		announce("first", 0)
-		for i := range later {
-			began := writer.took
-			if i >= announcementsMost {
-				began = 2 * writer.took
+		for i := range queued {
+			began := writer.appendTime
+			if i >= maxBatchSize {
+				began = 2 * writer.appendTime
 			}
 			announce(fmt.Sprint(i), began)
 		}
 		running.Wait()
 		is.Equal(len(writer.appends), 3)
-		is.Equal(len(writer.appends[1]), announcementsMost)
+		is.Equal(len(writer.appends[1]), maxBatchSize)
 		is.Equal(writer.appends[1][7].Key, "7")
 		is.Equal(len(writer.appends[2]), 10)
 
-		// What comes when nothing is under way is written at once.
+		// An announcement is written at once when no append is in progress.
 		running.Go(func() {
-			from, _, err := a.announce(t.Context(), Announcement{EngineID: "last"})
+			startedAt, _, err := a.announce(t.Context(), Announcement{EngineID: "last"})
 			is.NoErr(err)
-			is.Equal(from.Sub(started), 3*writer.took)
+			is.Equal(startedAt.Sub(started), 3*writer.appendTime)
 		})
 		running.Wait()
 	})
 }
 
-// TestAnAnnouncementWaitsForNoLaterOne tells of an order that was tried again and again. On a slow store orders came all the while; the
-// call that found nobody writing wrote for all, and returned only when nothing waited any more. By then the window of its own order was
-// over, so the order was not sent and was planned anew. The evidence: with an append of 200 ms and an announcement every 50 ms for two
-// windows, the first call returned after 2.2 s, although its record was in the store after 200 ms; all others returned within 400 ms, the
-// append under way and their own.
-func TestAnAnnouncementWaitsForNoLaterOne(t *testing.T) {
+// TestAnnounceReturnsBeforeLaterAnnouncements guards against orders that were retried without end on a slow store. The
+// call that found no append in progress wrote all later announcements too and returned only when none was pending. By
+// then the send window of its own order was over, so the order was not sent and was planned again. With an append of
+// 200 ms and an announcement every 50 ms for two windows, the first call returned after 2.2 s, although its record was
+// stored after 200 ms. All others returned within 400 ms, the time of the append in progress and their own.
+func TestAnnounceReturnsBeforeLaterAnnouncements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		writer := &slowAppender{took: 200 * time.Millisecond}
+		writer := &slowAppender{appendTime: 200 * time.Millisecond}
 		a := newAnnouncer(writer)
 		var running sync.WaitGroup
 		for began := time.Now(); time.Since(began) < 2*fencing.SendWindow; time.Sleep(50 * time.Millisecond) {
 			called := time.Now()
 			running.Go(func() {
-				from, took, err := a.announce(t.Context(), Announcement{EngineID: called.String()})
+				startedAt, appendTime, err := a.announce(t.Context(), Announcement{EngineID: called.String()})
 				is.NoErr(err)
-				is.Equal(time.Now(), from.Add(took))
-				is.True(time.Since(called) <= 2*writer.took)
+				is.Equal(time.Now(), startedAt.Add(appendTime))
+				is.True(time.Since(called) <= 2*writer.appendTime)
 			})
 		}
 		running.Wait()
@@ -103,12 +103,13 @@
 	})
 }
 
-// TestAFailedAppendFailsAllItsAnnouncements checks that nobody takes an announcement for written that is not, or waits for ever.
+// TestAFailedAppendFailsAllItsAnnouncements checks that no call reports an announcement as written that is not, and
+// that none blocks forever.
 func TestAFailedAppendFailsAllItsAnnouncements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		errEnded := errors.New("superseded")
-		a := newAnnouncer(&slowAppender{took: time.Second, err: errEnded})
+		a := newAnnouncer(&slowAppender{appendTime: time.Second, err: errEnded})
 		var running sync.WaitGroup
 		for i := range 5 {
 			running.Go(func() {
@@ -120,14 +121,14 @@
 	})
 }
 
-// TestRecordsTellWhenTheLastOrderWasAnnounced writes that an engine serves a version after its next order was announced: whoever reads only the
-// newest record must not take that order for older than it is.
-func TestRecordsTellWhenTheLastOrderWasAnnounced(t *testing.T) {
+// TestRecordsCarryTheTimeOfTheLastOrder announces that an engine serves a version after its next order was announced. A
+// process that reads only the newest record must not assume that the order is older than it is.
+func TestRecordsCarryTheTimeOfTheLastOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		writer := new(slowAppender)
 		a := newAnnouncer(writer)
-		a.started = time.Now()
+		a.epochStart = time.Now()
 		announce := func(version int64, serving bool) Announcement {
 			_, _, err := a.announce(t.Context(), Announcement{EngineID: "e", Version: version, Serving: serving})
 			is.NoErr(err)
--- a/internal/weightroll/balance_test.go
+++ b/internal/weightroll/balance_test.go
@@ -12,11 +12,11 @@
 	"pgregory.net/rapid"
 )
 
-// movableID says that every engine may be swapped.
-func movableID(string) bool { return true }
+// allMovable allows every engine to be swapped.
+func allMovable(string) bool { return true }
 
-// quickOf counts the engines of each model whose pace is below a limit.
-func quickOf(assignment Assignment, paces map[string]time.Duration, below time.Duration) map[string]int {
+// countFast counts the engines of each model whose pace is below a limit.
+func countFast(assignment Assignment, paces map[string]time.Duration, below time.Duration) map[string]int {
 	counts := make(map[string]int)
 	for id, model := range assignment {
 		if paces[id] < below {
@@ -26,10 +26,10 @@
 	return counts
 }
 
-// TestQuickEnginesAreSharedAmongModels answers four trainers whose steps hang on their longest item, on 44 engines of which a quarter
-// is twice as quick: dealt by their ids alone, one model had all of the quick ones and its neighbours took twice as long for a step. Each
-// trainer is to have its part, within one engine.
-func TestQuickEnginesAreSharedAmongModels(t *testing.T) {
+// TestFastEnginesAreSpreadOverModels guards against an assignment by ids alone, which gave one model all fast engines.
+// With four trainers whose steps wait for their longest item, on 44 engines of which a quarter is twice as fast, the
+// steps of the other models took twice as long. Each model must get its share of fast engines, within one engine.
+func TestFastEnginesAreSpreadOverModels(t *testing.T) {
 	is := is.New(t)
 	pool := engines(44, nil)
 	paces := make(map[string]time.Duration)
@@ -42,23 +42,24 @@
 			paces[engine.ID] = 27 * time.Millisecond
 		}
 	}
-	is.Equal(quickOf(assignment, paces, 40*time.Millisecond), map[string]int{"a": 11})
+	is.Equal(countFast(assignment, paces, 40*time.Millisecond), map[string]int{"a": 11})
 
-	balanced, swaps := Balance(assignment, pool, shares, paces, movableID)
+	balanced, swaps := Balance(assignment, pool, shares, paces, allMovable)
 	is.Equal(balanced.counts(), shares)
-	for model, quick := range quickOf(balanced, paces, 40*time.Millisecond) {
-		if quick < 2 || quick > 4 {
-			t.Errorf("model %s has %d quick engines of 11", model, quick)
+	for model, fast := range countFast(balanced, paces, 40*time.Millisecond) {
+		if fast < 2 || fast > 4 {
+			t.Errorf("model %s has %d fast engines of 11", model, fast)
 		}
 	}
 	is.True(swaps >= 7)
-	is.Equal(quickOf(assignment, paces, 40*time.Millisecond), map[string]int{"a": 11}) // the assignment given is not changed
+	is.Equal(countFast(assignment, paces, 40*time.Millisecond), map[string]int{"a": 11}) // the input is not modified
 
-	_, again := Balance(balanced, pool, shares, paces, movableID)
+	_, again := Balance(balanced, pool, shares, paces, allMovable)
 	is.Equal(again, 0)
 }
 
-// TestALoadingEngineIsNotSwapped: its load would be for nothing.
+// TestALoadingEngineIsNotSwapped checks that an engine for which mayMove returns false is not swapped; the load in
+// progress would be wasted.
 func TestALoadingEngineIsNotSwapped(t *testing.T) {
 	is := is.New(t)
 	pool := engines(6, nil)
@@ -76,8 +77,9 @@
 	is.Equal(swaps, 0)
 }
 
-// TestEqualEnginesStay: paces of equal engines that differ by what measuring them does move nothing, and neither does knowing none.
-func TestEqualEnginesStay(t *testing.T) {
+// TestEqualEnginesAreNotSwapped checks that paces of equal engines that differ only by measurement noise cause no
+// swaps, and that unknown paces cause none.
+func TestEqualEnginesAreNotSwapped(t *testing.T) {
 	is := is.New(t)
 	pool := engines(6, nil)
 	assignment := Assignment{"e00": "a", "e01": "a", "e02": "a", "e03": "b", "e04": "b", "e05": "b"}
@@ -87,14 +89,14 @@
 		paces[engine.ID] = time.Duration(50+2*i) * time.Millisecond
 	}
 	for _, known := range []map[string]time.Duration{nil, paces} {
-		balanced, swaps := Balance(assignment, pool, shares, known, movableID)
+		balanced, swaps := Balance(assignment, pool, shares, known, allMovable)
 		is.Equal(swaps, 0)
 		is.True(maps.Equal(balanced, assignment))
 	}
 }
 
-// TestBalanceKeepsShares checks on any pool that a balance moves no engine to where none was, keeps the numbers of each model, swaps
-// nothing the second time, and leaves no model further from its part than the one furthest off was.
+// TestBalanceKeepsShares checks for random pools that Balance assigns no unassigned engine, keeps the engine count of
+// each model, swaps nothing when it runs again, and does not increase the largest deviation of a model from its share.
 func TestBalanceKeepsShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := engines(rapid.IntRange(2, 40).Draw(t, "engines"), nil)
@@ -108,21 +110,21 @@
 			paces[engine.ID] = time.Duration(rapid.SampledFrom([]int{0, 20, 27, 58, 60, 200}).Draw(t, "pace")) * time.Millisecond
 		}
 		shares := assignment.counts()
-		balanced, _ := Balance(assignment, pool, shares, paces, movableID)
+		balanced, _ := Balance(assignment, pool, shares, paces, allMovable)
 		if !maps.Equal(balanced.counts(), shares) || len(balanced) != len(assignment) {
-			t.Fatalf("counts %v became %v", shares, balanced.counts())
+			t.Fatalf("engine counts changed from %v to %v", shares, balanced.counts())
 		}
-		if _, again := Balance(balanced, pool, shares, paces, movableID); again != 0 {
-			t.Fatalf("%d pairs were swapped again", again)
+		if _, again := Balance(balanced, pool, shares, paces, allMovable); again != 0 {
+			t.Fatalf("second run swapped %d pairs", again)
 		}
-		if before, after := furthest(assignment, pool, shares, paces), furthest(balanced, pool, shares, paces); after > before+1e-9 {
-			t.Fatalf("a model is %.2f off its part, before %.2f", after, before)
+		if before, after := maxDeviation(assignment, pool, shares, paces), maxDeviation(balanced, pool, shares, paces); after > before+1e-9 {
+			t.Fatalf("largest deviation from a share is %.2f, was %.2f before", after, before)
 		}
 	})
 }
 
-// furthest returns by how much the model furthest off its part of the speed is off.
-func furthest(assignment Assignment, pool []fleet.Engine, shares map[string]int, paces map[string]time.Duration) float64 {
+// maxDeviation returns the largest deviation of a model from its share of the speed.
+func maxDeviation(assignment Assignment, pool []fleet.Engine, shares map[string]int, paces map[string]time.Duration) float64 {
 	off := []float64{0}
 	for _, over := range newSpeeds(assignment, pool, paces).excess(assignment, shares) {
 		off = append(off, max(over, -over))
--- a/internal/weightroll/board.go
+++ b/internal/weightroll/board.go
@@ -20,48 +20,49 @@
 	return keyedlog.Partition{Topic: keyedlog.TopicWeights, Number: int(hash.Sum32() % uint32(partitions))}
 }
 
-// loadUsual is how long a load is taken to last before one was measured.
-const loadUsual = time.Second
+// defaultLoadTime is the assumed duration of a load before one was measured.
+const defaultLoadTime = time.Second
 
-// Board is the fold of announcements: what every engine was ordered to load, and when this process learnt of it. It is safe
-// for concurrent use.
+// Board is the state built from the announcements in the store: what every engine was last ordered to load, and when
+// this process read that. It is safe for concurrent use.
 type Board struct {
 	directory *fleet.Directory
 
 	mutex   sync.Mutex
-	orders  map[string]seenOrder
+	orders  map[string]receivedOrder
 	skipped int
-	// began holds a moment by which each order giver had its epoch, by what its records tell.
-	began map[orderGiver]time.Time
-	// atOnce maps pools to how many of their engines might load at once.
-	atOnce map[string]int
-	// usual is the smoothed time from the announcement of an order to that of its engine serving, 0 before one was measured.
-	usual time.Duration
+	// epochStart maps owners to a time by which they had acquired their epoch, derived from their records.
+	epochStart map[ownerEpoch]time.Time
+	// loadLimits maps pools to the number of their engines that may load concurrently.
+	loadLimits map[string]int
+	// typicalLoad is the smoothed time from the announcement of an order to the announcement that its engine serves, 0
+	// before one was measured.
+	typicalLoad time.Duration
 }
 
-// seenOrder is an announcement with the moment at which it was read.
-type seenOrder struct {
+// receivedOrder is an announcement with the time at which it was read.
+type receivedOrder struct {
 	Announcement
-	seenAt time.Time
-	// announcedBy is a moment by which the order had been announced, seenAt or an earlier one; last fills it in.
-	announcedBy time.Time
+	receivedAt time.Time
+	// announcedBefore is a time by which the order had been announced, receivedAt or an earlier one; lastOrder sets it.
+	announcedBefore time.Time
 }
 
-// orderGiver is who ordered the engines of a pool under an epoch.
-type orderGiver struct {
+// ownerEpoch identifies the owner that ordered the engines of a pool under an epoch.
+type ownerEpoch struct {
 	pool  string
 	epoch int64
 }
 
-// giversMost is how many order givers are remembered.
-const giversMost = 16
+// maxOwnerEpochs limits the entries of Board.epochStart.
+const maxOwnerEpochs = 16
 
-// NewBoard returns an empty board that tells a directory what engines load and serve.
+// NewBoard returns an empty board that updates a directory with the versions that engines load and serve.
 func NewBoard(directory *fleet.Directory) *Board {
-	return &Board{directory: directory, orders: make(map[string]seenOrder), began: make(map[orderGiver]time.Time), atOnce: make(map[string]int)}
+	return &Board{directory: directory, orders: make(map[string]receivedOrder), epochStart: make(map[ownerEpoch]time.Time), loadLimits: make(map[string]int)}
 }
 
-// Apply folds a record. An error says that it was skipped.
+// Apply applies a record. An error means that the record was skipped.
 func (b *Board) Apply(record keyedlog.Record) error {
 	if record.Key == keyedlog.OwnerKey {
 		return nil
@@ -73,8 +74,8 @@
 		delete(b.orders, record.Key)
 		return nil
 	}
-	if strings.HasPrefix(record.Key, dealingKey) {
-		return b.deal(record.Value)
+	if strings.HasPrefix(record.Key, assignmentKeyPrefix) {
+		return b.applyAssignment(record.Value)
 	}
 	var order Announcement
 	if _, err := order.UnmarshalMsg(record.Value); err != nil {
@@ -84,21 +85,21 @@
 		return err
 	}
 	b.mutex.Lock()
-	b.noteClock(order, now)
-	seen := seenOrder{Announcement: order, seenAt: now}
+	b.observeEpochStart(order, now)
+	received := receivedOrder{Announcement: order, receivedAt: now}
 	if order.Serving {
-		// That an engine serves is no new order.
-		last, read := b.orders[order.EngineID]
-		if read {
-			seen.seenAt = last.seenAt
+		// An announcement that the engine serves the version is not a new order.
+		last, known := b.orders[order.EngineID]
+		if known {
+			received.receivedAt = last.receivedAt
 		}
-		b.learn(last, read, order, now)
+		b.observeServing(last, known, order, now)
 	}
-	b.orders[order.EngineID] = seen
+	b.orders[order.EngineID] = received
 	if order.Together > 0 {
-		b.atOnce[order.Pool] = order.Together
+		b.loadLimits[order.Pool] = order.Together
 	}
-	until := b.announcedBy(seen).Add(b.loading())
+	until := b.announcedBefore(received).Add(b.expectedLoadTime())
 	b.mutex.Unlock()
 	if order.Serving {
 		b.directory.SetServes(order.EngineID, order.Model, order.Version)
@@ -108,121 +109,127 @@
 	return nil
 }
 
-// deal takes which model each engine of a pool is kept up to date for.
-func (b *Board) deal(value []byte) error {
-	var dealing Dealing
-	if _, err := dealing.UnmarshalMsg(value); err != nil {
+// applyAssignment applies the record of a pool's assignment to the directory.
+func (b *Board) applyAssignment(value []byte) error {
+	var record AssignmentRecord
+	if _, err := record.UnmarshalMsg(value); err != nil {
 		b.mutex.Lock()
 		defer b.mutex.Unlock()
 		b.skipped++
 		return err
 	}
-	b.directory.SetDealt(dealing.Pool, dealing.assignment())
+	b.directory.SetDealt(record.Pool, record.assignment())
 	return nil
 }
 
-// loadingSlack is how many usual times an engine is taken to load before it is offered work again.
-const loadingSlack = 1.3
+// loadingSlackFactor is the multiple of the typical load time after which an engine is offered work again without an
+// announcement that it serves.
+const loadingSlackFactor = 1.3
 
-// loading is how long an engine is taken to load after an announcement. The mutex must be held.
-func (b *Board) loading() time.Duration {
-	if b.usual == 0 {
-		return loadUsual
+// expectedLoadTime returns how long an engine is assumed to load after an announcement. The caller must hold the mutex.
+func (b *Board) expectedLoadTime() time.Duration {
+	if b.typicalLoad == 0 {
+		return defaultLoadTime
 	}
-	return time.Duration(loadingSlack * float64(b.usual))
+	return time.Duration(loadingSlackFactor * float64(b.typicalLoad))
 }
 
-// learn takes that an engine serves what it was ordered to load, by its last announcement if one was read. The mutex must be held.
-func (b *Board) learn(last seenOrder, read bool, serving Announcement, now time.Time) {
-	if read && (last.Serving || last.Version != serving.Version || last.Model != serving.Model) {
+// observeServing updates the typical load time when an engine serves what it was ordered to load. last is the engine's
+// last announcement, if known is set. The caller must hold the mutex.
+func (b *Board) observeServing(last receivedOrder, known bool, serving Announcement, now time.Time) {
+	if known && (last.Serving || last.Version != serving.Version || last.Model != serving.Model) {
 		return
 	}
-	took := loadTook(last, read, serving, now)
+	elapsed := loadDuration(last, known, serving, now)
 	switch {
-	case took <= 0:
-	case b.usual == 0:
-		b.usual = took
+	case elapsed <= 0:
+	case b.typicalLoad == 0:
+		b.typicalLoad = elapsed
 	default:
-		b.usual = smoothed(b.usual, min(took, overdueLoads*b.usual))
+		b.typicalLoad = smoothed(b.typicalLoad, min(elapsed, overdueFactor*b.typicalLoad))
 	}
 }
 
-// loadTook returns how long a load took, 0 if that is not known. It goes by the giver's clock: a process that is behind reads order and answer
-// together, or the answer alone, and a hundred loads that seem to take no time would have it give work to engines that load.
-func loadTook(last seenOrder, read bool, serving Announcement, now time.Time) time.Duration {
+// loadDuration returns how long a load took, 0 if that is not known. It is based on the clock of the owner that ordered
+// the load. A process that lags behind reads the order and the announcement that the engine serves together, or only
+// the latter: a hundred loads that seem to take no time would make it assign work to engines that are loading.
+func loadDuration(last receivedOrder, known bool, serving Announcement, now time.Time) time.Duration {
 	switch {
 	case serving.Ordered > 0:
 		return serving.Written - serving.Ordered
-	case serving.Written == 0 && read:
-		// The giver tells no times.
-		return now.Sub(last.seenAt)
+	case serving.Written == 0 && known:
+		// The owner does not record times.
+		return now.Sub(last.receivedAt)
 	default:
 		return 0
 	}
 }
 
-// noteClock takes what a record tells of when its owner began. A record is read after it was written, so that the owner had begun by the
-// moment of reading less what its clock showed; a clock that stood still during a suspension only makes that later. The mutex must be held.
-func (b *Board) noteClock(order Announcement, now time.Time) {
+// observeEpochStart derives from a record when its owner's epoch began. A record is read after it was written, so the
+// epoch had begun by the time of reading minus the time on the owner's clock. A clock that was stopped during a
+// suspension only makes the result later. The caller must hold the mutex.
+func (b *Board) observeEpochStart(order Announcement, now time.Time) {
 	if order.Written <= 0 {
 		return
 	}
-	giver := orderGiver{order.Pool, order.Epoch}
-	began := now.Add(-order.Written)
-	if known, ok := b.began[giver]; ok && !began.Before(known) {
+	owner := ownerEpoch{order.Pool, order.Epoch}
+	epochStart := now.Add(-order.Written)
+	if known, ok := b.epochStart[owner]; ok && !epochStart.Before(known) {
 		return
 	}
-	b.began[giver] = began
-	if len(b.began) > giversMost {
-		delete(b.began, slices.MinFunc(slices.Collect(maps.Keys(b.began)), func(a, b orderGiver) int { return cmp.Compare(a.epoch, b.epoch) }))
+	b.epochStart[owner] = epochStart
+	if len(b.epochStart) > maxOwnerEpochs {
+		delete(b.epochStart, slices.MinFunc(slices.Collect(maps.Keys(b.epochStart)), func(a, b ownerEpoch) int { return cmp.Compare(a.epoch, b.epoch) }))
 	}
 }
 
-// announcedBy returns a moment by which an order had been announced. Whoever has read an order just now knows by the newest record of its giver
-// how old it is at least, and that it is older than the next giver. The mutex must be held.
-func (b *Board) announcedBy(order seenOrder) time.Time {
-	by := order.seenAt
-	for giver, began := range b.began {
+// announcedBefore returns a time by which an order had been announced. A process that has only just read an order
+// derives its minimum age from the newest record of the same owner, and knows that the order is older than the epoch of
+// the next owner. The caller must hold the mutex.
+func (b *Board) announcedBefore(order receivedOrder) time.Time {
+	earliest := order.receivedAt
+	for owner, epochStart := range b.epochStart {
 		switch {
-		case giver.pool != order.Pool || giver.epoch < order.Epoch:
+		case owner.pool != order.Pool || owner.epoch < order.Epoch:
 			continue
-		case giver.epoch == order.Epoch && order.Ordered <= 0:
+		case owner.epoch == order.Epoch && order.Ordered <= 0:
 			continue
-		case giver.epoch == order.Epoch:
-			began = began.Add(order.Ordered)
+		case owner.epoch == order.Epoch:
+			epochStart = epochStart.Add(order.Ordered)
 		}
-		if began.Before(by) {
-			by = began
+		if epochStart.Before(earliest) {
+			earliest = epochStart
 		}
 	}
-	return by
+	return earliest
 }
 
-// last returns the newest announcement for an engine.
-func (b *Board) last(engineID string) (seenOrder, bool) {
+// lastOrder returns the newest announcement for an engine.
+func (b *Board) lastOrder(engineID string) (receivedOrder, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	order, ok := b.orders[engineID]
-	order.announcedBy = b.announcedBy(order)
+	order.announcedBefore = b.announcedBefore(order)
 	return order, ok
 }
 
-// together returns how many engines of a pool might load at once by its newest announcement, 0 if none tells.
-func (b *Board) together(pool string) int {
+// loadLimit returns the number of a pool's engines that may load concurrently according to its newest announcement, 0
+// if none has it.
+func (b *Board) loadLimit(pool string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.atOnce[pool]
+	return b.loadLimits[pool]
 }
 
-// gone returns the engines of announcements that are not in the directory any more and whose last order is older than a
-// moment.
-func (b *Board) gone(partition keyedlog.Partition, partitions int, before time.Time) []string {
+// departed returns the engines of announcements that are no longer in the directory and whose last order was read
+// before the given time.
+func (b *Board) departed(partition keyedlog.Partition, partitions int, before time.Time) []string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	var ids []string
 	for id, order := range b.orders {
 		_, exists := b.directory.Engine(id)
-		if !exists && order.seenAt.Before(before) && PartitionOf(order.Pool, partitions) == partition {
+		if !exists && order.receivedAt.Before(before) && PartitionOf(order.Pool, partitions) == partition {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/weightroll/concurrency_test.go
+++ b/internal/weightroll/concurrency_test.go
@@ -8,112 +8,115 @@
 	"github.com/matryer/is"
 )
 
-// storeLoad is how long a load takes while so many load together, of a store that serves knee of them at full speed.
-func storeLoad(together, knee int) time.Duration {
-	return time.Duration(float64(900*time.Millisecond) * max(1, float64(together)/float64(knee)))
+// storeLoadTime returns how long a load takes with the given number of concurrent loads, from a store that serves
+// capacity loads at full speed.
+func storeLoadTime(concurrent, capacity int) time.Duration {
+	return time.Duration(float64(900*time.Millisecond) * max(1, float64(concurrent)/float64(capacity)))
 }
 
-// TestConcurrencyFindsTheStoresRoom checks, for stores that serve few engines and many, that loads come close to as fast as
-// the store allows, and that not many more engines load than that takes.
-func TestConcurrencyFindsTheStoresRoom(t *testing.T) {
-	for _, knee := range []int{1, 2, 3, 5, 7, 20, 64} {
-		t.Run(fmt.Sprint(knee), func(t *testing.T) {
+// TestConcurrencyConvergesToStoreCapacity checks, for stores of small and large capacity, that the rate of loads comes
+// close to what the store allows, and that not many more engines load than that needs.
+func TestConcurrencyConvergesToStoreCapacity(t *testing.T) {
+	for _, capacity := range []int{1, 2, 3, 5, 7, 20, 64} {
+		t.Run(fmt.Sprint(capacity), func(t *testing.T) {
 			is := is.New(t)
 			var c concurrency
 			now := time.Unix(0, 0)
 			for range 2000 {
 				limit := c.limit()
-				took := storeLoad(limit, knee)
-				now = now.Add(took / time.Duration(limit))
-				c.loaded(took, limit, true, now)
+				elapsed := storeLoadTime(limit, capacity)
+				now = now.Add(elapsed / time.Duration(limit))
+				c.observe(elapsed, limit, true, now)
 			}
-			best := float64(knee) / 0.9
+			best := float64(capacity) / 0.9
 			is.True(c.rate >= 0.66*best)
-			is.True(c.accepted <= max(loadsAtFirst, 2*knee))
+			is.True(c.accepted <= max(initialLoads, 2*capacity))
 		})
 	}
 }
 
-// TestConcurrencyTriesNothingWithoutNeed checks that the number stays while no engine waits, and that loads which did not
-// begin with all places taken say nothing.
-func TestConcurrencyTriesNothingWithoutNeed(t *testing.T) {
+// TestConcurrencyIsNotRaisedWithoutWaitingEngines checks that the number does not change while no engine is waiting,
+// and that loads that started below the limit are not counted.
+func TestConcurrencyIsNotRaisedWithoutWaitingEngines(t *testing.T) {
 	is := is.New(t)
 	var c concurrency
 	now := time.Unix(0, 0)
 	for range 100 {
 		now = now.Add(time.Second)
-		c.loaded(time.Second, loadsAtFirst, false, now)
-		c.loaded(time.Millisecond, loadsAtFirst-1, true, now)
+		c.observe(time.Second, initialLoads, false, now)
+		c.observe(time.Millisecond, initialLoads-1, true, now)
 	}
-	is.Equal(c.limit(), loadsAtFirst)
+	is.Equal(c.limit(), initialLoads)
 }
 
-// TestATrialThatBroughtNothingIsNotRepeatedAtOnce checks the pause between trials.
-func TestATrialThatBroughtNothingIsNotRepeatedAtOnce(t *testing.T) {
+// TestFailedTrialIsRepeatedAfterBackoff checks the delay between trials without gain.
+func TestFailedTrialIsRepeatedAfterBackoff(t *testing.T) {
 	is := is.New(t)
 	var c concurrency
 	now := time.Unix(0, 0)
 	trials := 0
 	before := c.limit()
-	for now.Before(time.Unix(0, 0).Add(2 * trialPause)) {
+	for now.Before(time.Unix(0, 0).Add(2 * trialBackoff)) {
 		limit := c.limit()
 		if limit > before {
 			trials++
 		}
 		before = limit
-		took := storeLoad(limit, loadsAtFirst)
-		now = now.Add(took / time.Duration(limit))
-		c.loaded(took, limit, true, now)
+		elapsed := storeLoadTime(limit, initialLoads)
+		now = now.Add(elapsed / time.Duration(limit))
+		c.observe(elapsed, limit, true, now)
 	}
 	is.Equal(trials, 2)
-	is.True(c.limit() <= loadsAtFirst+1)
+	is.True(c.limit() <= initialLoads+1)
 }
 
-// TestALargePoolStartsWithMore is what held the steps of a pool of 77 engines: with two loads at first and trials of twice as
-// many, the number came to what the store allows 27 seconds after the first load, and 60 engines waited all the while.
-func TestALargePoolStartsWithMore(t *testing.T) {
+// TestLargePoolStartsWithHigherConcurrency guards against slow rollouts on a pool of 77 engines. With two initial loads
+// and trials of twice as many, the number reached the capacity of the store 27 seconds after the first load, and 60
+// engines waited until then.
+func TestLargePoolStartsWithHigherConcurrency(t *testing.T) {
 	is := is.New(t)
-	const engines, knee = 77, 15
+	const engines, capacity = 77, 15
 	var c concurrency
-	c.startAt(engines, 0)
+	c.setInitial(engines, 0)
 	now, began := time.Unix(0, 0), time.Unix(0, 0)
-	for c.limit() < knee*2/3 {
+	for c.limit() < capacity*2/3 {
 		limit := c.limit()
 		for range limit {
-			c.loaded(storeLoad(limit, knee), limit, true, now)
+			c.observe(storeLoadTime(limit, capacity), limit, true, now)
 		}
-		now = now.Add(storeLoad(limit, knee))
+		now = now.Add(storeLoadTime(limit, capacity))
 	}
 	is.True(now.Sub(began) <= 3*time.Second)
 
-	// A successor goes on from there, and one that knows more than the pool's size tells begins with that.
+	// A successor continues with the proven number, and uses it in place of the smaller number that follows from the
+	// size of the pool.
 	var next concurrency
-	next.startAt(engines, c.proven())
+	next.setInitial(engines, c.proven())
 	is.Equal(next.limit(), c.proven())
-	next.loaded(storeLoad(next.limit(), knee), next.limit(), true, now)
-	next.startAt(engines, 1)
+	next.observe(storeLoadTime(next.limit(), capacity), next.limit(), true, now)
+	next.setInitial(engines, 1)
 	is.Equal(next.limit(), c.proven())
 
-	// A number that is on trial is nothing to begin with.
+	// A number on trial is not used as an initial number.
 	is.True(c.limit() > c.accepted)
 	is.Equal(c.proven(), c.accepted)
 }
 
-// TestAFirstNumberThatIsTooLargeIsLowered checks that a large pool whose store serves few engines at once comes down to about
-// what that store allows, once loads by themselves have shown how quick they can be.
-func TestAFirstNumberThatIsTooLargeIsLowered(t *testing.T) {
+// TestExcessiveInitialConcurrencyIsLowered checks that a large pool with a store of small capacity comes down to about
+// that capacity, once a single load has shown the shortest load time.
+func TestExcessiveInitialConcurrencyIsLowered(t *testing.T) {
 	is := is.New(t)
-	const engines, knee = 600, 5
+	const engines, capacity = 600, 5
 	var c concurrency
-	c.startAt(engines, 0)
-	is.True(c.limit() > 2*knee)
+	c.setInitial(engines, 0)
+	is.True(c.limit() > 2*capacity)
 	now := time.Unix(0, 0)
-	c.loaded(storeLoad(1, knee), 1, false, now)
+	c.observe(storeLoadTime(1, capacity), 1, false, now)
 	for range 20 * c.limit() {
-		c.loaded(storeLoad(c.limit(), knee), c.limit(), false, now)
-		// The planner says where to start as long as nothing was measured, and goes on saying it.
-		c.startAt(engines, 0)
+		c.observe(storeLoadTime(c.limit(), capacity), c.limit(), false, now)
+		// The planner sets the initial number with each plan, also after loads were measured.
+		c.setInitial(engines, 0)
 	}
-	is.True(c.limit() <= knee)
-	is.True(c.limit() >= knee/2)
+	is.True(c.limit() <= capacity)
+	is.True(c.limit() >= capacity/2)
 }
--- a/internal/weightroll/order.go
+++ b/internal/weightroll/order.go
@@ -12,11 +12,11 @@
 	"github.com/hillfork/hillfork/internal/pause"
 )
 
-// errNotTaken says that an engine did not take an order.
-var errNotTaken = errors.New("order was not taken")
+// errOrderFailed means that an engine did not accept an order, or did not load the version.
+var errOrderFailed = errors.New("engine did not carry out the order")
 
-// order announces and sends an order and waits until the engine serves the version, and returns how long the engine took to
-// load: 0 if it served the version already or is not known to have begun when the order was sent.
+// order announces and sends an order and waits until the engine serves the version. It returns how long the engine took
+// to load, 0 if it already served the version or is not known to have begun when the order was sent.
 func (r *roller) order(ctx context.Context, pool string, step Step, mode engineapi.LoadMode) (time.Duration, error) {
 	sequence, known := r.sequenceOf(step.Engine)
 	if !known {
@@ -25,7 +25,7 @@
 			return 0, err
 		}
 		if report.Versions[step.Model] >= step.Version {
-			r.serving(ctx, pool, step)
+			r.announceServing(ctx, pool, step)
 			return 0, nil
 		}
 		sequence = report.Sequence
@@ -41,45 +41,46 @@
 	case engineapi.OrderTaken:
 		r.setSequence(step.Engine, sequence+1)
 	case engineapi.OrderHolds:
-		r.serving(ctx, pool, step)
+		r.announceServing(ctx, pool, step)
 		return 0, nil
 	case engineapi.OrderUnknown:
 		r.forgetSequence(step.Engine.ID)
 	default:
 		r.forgetSequence(step.Engine.ID)
-		return 0, errors.Join(errNotTaken, err)
+		return 0, errors.Join(errOrderFailed, err)
 	}
 	if !r.awaitLoad(ctx, step, outcome == engineapi.OrderTaken) {
 		r.forgetSequence(step.Engine.ID)
-		return 0, errNotTaken
+		return 0, errOrderFailed
 	}
-	r.serving(ctx, pool, step)
+	r.announceServing(ctx, pool, step)
 	if outcome != engineapi.OrderTaken {
 		return 0, nil
 	}
 	return time.Since(sent), nil
 }
 
-// announce writes that an order is about to be sent, and returns in which window it may be. The window is counted from before the
-// write, so that a successor, which sees the record later, counts a longer one.
+// announce writes that an order is about to be sent and returns the window in which it may be sent. The window starts
+// before the write. A successor, which sees the record later, therefore counts a window that ends later.
 func (r *roller) announce(ctx context.Context, pool string, step Step, serving bool) (fencing.Window, error) {
 	record := Announcement{
 		EngineID: step.Engine.ID, Pool: pool, Model: step.Model, Version: step.Version, Epoch: r.writer.Epoch(),
-		Holder: r.config.Node, Serving: serving, Together: r.togetherOf(pool),
+		Holder: r.config.Node, Serving: serving, Together: r.provenLoads(pool),
 	}
 	for {
 		window := fencing.BeginWindow()
-		began, took, err := r.announcer.announce(ctx, record)
+		startedAt, elapsed, err := r.announcer.announce(ctx, record)
 		if err != nil {
 			return fencing.Window{}, err
 		}
-		if serving || took < fencing.SendWindow/2 {
-			return window.From(began), nil
+		if serving || elapsed < fencing.SendWindow/2 {
+			return window.From(startedAt), nil
 		}
 	}
 }
 
-// send sends an order, unless the window of its announcement is over: a process that was paused or suspended sends nothing.
+// send sends an order unless the window of its announcement is over: a process that was paused or suspended must not
+// send it.
 func (r *roller) send(
 	ctx context.Context, step Step, mode engineapi.LoadMode, sequence int64, window fencing.Window,
 ) (engineapi.OrderOutcome, error) {
@@ -99,18 +100,19 @@
 	return outcome, err
 }
 
-// awaitLoad asks the engine until it serves the version. An order that drew no answer and shows no sign is given up early.
-func (r *roller) awaitLoad(ctx context.Context, step Step, taken bool) bool {
+// awaitLoad polls the engine until it serves the version, and reports whether it does. It stops waiting early for an
+// order that got no answer if the engine shows no sign of loading.
+func (r *roller) awaitLoad(ctx context.Context, step Step, accepted bool) bool {
 	r.mutex.Lock()
-	usual, quickest := r.usual, r.quickest
+	typicalLoad, shortestLoad := r.typicalLoad, r.shortestLoad
 	r.mutex.Unlock()
 	started := time.Now()
-	wait := time.Duration(reportFrom * float64(quickest))
-	if !taken {
-		wait = reportEvery
+	wait := time.Duration(firstPollFraction * float64(shortestLoad))
+	if !accepted {
+		wait = pollInterval
 	}
 	for polls := 0; pause.For(ctx, wait); polls++ {
-		wait = reportEvery
+		wait = pollInterval
 		if current, ok := r.config.Directory.Engine(step.Engine.ID); !ok || current.Draining || current.Restarted(step.Engine) {
 			return false
 		} else if current.Serves(step.Model) >= step.Version {
@@ -118,46 +120,48 @@
 		}
 		report, err := r.report(ctx, step.Engine)
 		if err == nil && report.Versions[step.Model] >= step.Version {
-			if taken {
+			if accepted {
 				r.mutex.Lock()
-				r.learnLoad(time.Since(started), polls)
+				r.recordLoadTime(time.Since(started), polls)
 				r.mutex.Unlock()
 			}
 			return true
 		}
-		if err == nil && !report.Busy && !taken {
+		if err == nil && !report.Busy && !accepted {
 			return false
 		}
-		taken = taken || (err == nil && report.Busy)
-		if time.Since(started) > overdueLoads*usual {
+		accepted = accepted || (err == nil && report.Busy)
+		if time.Since(started) > overdueFactor*typicalLoad {
 			return false
 		}
 	}
 	return false
 }
 
-// learnLoad takes how long a load took. One that was done when the engine was first asked may have been shorter than that, so
-// the engine is asked earlier next time. Slow loads don't put off the first question: all loads would seem as slow from then on. The
-// mutex must be held.
-func (r *roller) learnLoad(took time.Duration, polls int) {
-	r.quickest = min(r.quickest, took)
+// recordLoadTime records the duration of a load; polls is the number of polls that found it in progress. A load that was
+// complete at the first poll may have been shorter than measured, so the first poll of the next load is earlier. Slow
+// loads do not delay the first poll: all later loads would then be measured as equally slow. The caller must hold the
+// mutex.
+func (r *roller) recordLoadTime(elapsed time.Duration, polls int) {
+	r.shortestLoad = min(r.shortestLoad, elapsed)
 	if polls == 0 {
-		r.quickest = max(reportEvery, time.Duration(loadShortening*float64(r.quickest)))
+		r.shortestLoad = max(pollInterval, time.Duration(shortestLoadFactor*float64(r.shortestLoad)))
 	}
-	r.usual = smoothed(r.usual, took)
+	r.typicalLoad = smoothed(r.typicalLoad, elapsed)
 }
 
-// smoothed returns the usual time of a load after one more load.
-func smoothed(usual, took time.Duration) time.Duration {
-	return usual + time.Duration(loadSmoothing*float64(took-usual))
+// smoothed returns the moving average of load times after one more sample.
+func smoothed(average, sample time.Duration) time.Duration {
+	return average + time.Duration(loadTimeSmoothing*float64(sample-average))
 }
 
-// serving tells all nodes that the engine serves the version. The next order need not wait for that.
-func (r *roller) serving(ctx context.Context, pool string, step Step) {
+// announceServing announces to all nodes that the engine serves the version. It does not block: the next order need not
+// wait for the announcement.
+func (r *roller) announceServing(ctx context.Context, pool string, step Step) {
 	r.config.Directory.SetServes(step.Engine.ID, step.Model, step.Version)
 	r.active.Go(func() {
 		if _, err := r.announce(ctx, pool, step, true); err != nil && ctx.Err() == nil {
-			errorlog.Warn(r.config.Logger, "served version is not announced", err, "engine", step.Engine.ID)
+			errorlog.Warn(r.config.Logger, "failed to announce the served version", err, "engine", step.Engine.ID)
 		}
 	})
 }
@@ -168,22 +172,22 @@
 	return r.config.Client.Report(callCtx, engine)
 }
 
-// togetherOf returns how many engines of a pool may load at once, as far as that is proven.
-func (r *roller) togetherOf(pool string) int {
+// provenLoads returns the proven number of concurrent loads of a pool.
+func (r *roller) provenLoads(pool string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.together[pool].proven()
+	return r.loadLimit[pool].proven()
 }
 
-// sequenceOf returns how many orders an engine has taken, false if that is not known of this incarnation.
+// sequenceOf returns how many orders an engine has accepted, false if that is not known for its current incarnation.
 func (r *roller) sequenceOf(engine fleet.Engine) (int64, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	taken, known := r.sequences[engine.ID]
-	if !known || engine.Restarted(taken.engine) {
+	entry, known := r.sequences[engine.ID]
+	if !known || engine.Restarted(entry.engine) {
 		return 0, false
 	}
-	return taken.orders, true
+	return entry.orders, true
 }
 
 func (r *roller) setSequence(engine fleet.Engine, orders int64) {
--- a/internal/weightroll/plan.go
+++ b/internal/weightroll/plan.go
@@ -9,22 +9,23 @@
 	"github.com/hillfork/hillfork/internal/fleet"
 )
 
-// Step is one engine to be brought to a version.
+// Step is the update of one engine to a version of a model.
 type Step struct {
 	Engine  fleet.Engine
 	Model   string
 	Version int64
 }
 
-// Assignment maps engines to the model that they are kept up to date for.
+// Assignment maps engine ids to the model that the engine is kept up to date for.
 type Assignment map[string]string
 
-// Assign gives the engines of a pool to its models, as many to each as shares says, and those that are left to none: a trained model
-// needs engines of its newest version, and a load takes an engine away from all others. An engine that is kept stays with its model
-// whatever the model's share. Any other keeps its model while that is within its share, and goes where engines are missing otherwise, there
-// to the model whose newest version it is nearest to.
+// Assign assigns the engines of a pool to its models, to each as many as shares says, and leaves the others unassigned:
+// a trained model needs engines with its newest version, and a load takes an engine out of service for all other
+// models. A pinned engine keeps its model whatever the model's share. Any other engine keeps its model while that is
+// within its share. Otherwise it is assigned to the model that lacks the most engines, and among equals to the one
+// whose newest version it is nearest to.
 func Assign(
-	engines []fleet.Engine, targets map[string]int64, previous Assignment, shares map[string]int, kept func(fleet.Engine, string) bool,
+	engines []fleet.Engine, targets map[string]int64, previous Assignment, shares map[string]int, pinned func(fleet.Engine, string) bool,
 ) Assignment {
 	models := trainedModels(targets)
 	assignment := make(Assignment, len(engines))
@@ -32,9 +33,9 @@
 		return assignment
 	}
 	missing := maps.Clone(shares)
-	var movable, free []fleet.Engine
+	var movable, unassigned []fleet.Engine
 	for _, engine := range sortedByZone(engines) {
-		if model, assigned := previous[engine.ID]; assigned && kept(engine, model) {
+		if model, assigned := previous[engine.ID]; assigned && pinned(engine, model) {
 			assignment[engine.ID] = model
 			missing[model]--
 			continue
@@ -47,12 +48,12 @@
 			missing[model]--
 			continue
 		}
-		free = append(free, engine)
+		unassigned = append(unassigned, engine)
 	}
-	for _, engine := range free {
+	for _, engine := range unassigned {
 		model := nearestModel(engine, models, targets, missing)
 		if missing[model] <= 0 {
-			// All models have what they are to have.
+			// All models have their share.
 			break
 		}
 		assignment[engine.ID] = model
@@ -61,9 +62,10 @@
 	return assignment
 }
 
-// relevant returns the engines of a pool to which an assignment may give a model: those that have one, and as many of the others, by zones,
-// as models miss. Of thousands of engines steps need some hundreds, and a plan is made many times a second.
-func relevant(engines []fleet.Engine, previous Assignment, shares map[string]int) []fleet.Engine {
+// candidateEngines returns the engines of a pool that an assignment may use: those already assigned, and as many
+// others, spread over zones, as the models lack. Steps need some hundreds out of thousands of engines, and a plan is
+// made many times a second.
+func candidateEngines(engines []fleet.Engine, previous Assignment, shares map[string]int) []fleet.Engine {
 	missing := maps.Clone(shares)
 	var chosen, others []fleet.Engine
 	for _, engine := range engines {
@@ -87,7 +89,7 @@
 	return append(chosen, sortedByZone(others)[:min(needed, len(others))]...)
 }
 
-// counts returns how many engines each model has.
+// counts returns the number of engines of each model.
 func (a Assignment) counts() map[string]int {
 	counts := make(map[string]int)
 	for _, model := range a {
@@ -105,8 +107,8 @@
 	return models
 }
 
-// sortedByZone orders engines so that neighbours lie in different zones where possible: the first of each zone, then the second of each,
-// and so on, by their ids.
+// sortedByZone sorts engines so that neighbours are in different zones where possible: the first of each zone, then the
+// second of each, and so on, by id.
 func sortedByZone(engines []fleet.Engine) []fleet.Engine {
 	byID := func(a, b fleet.Engine) int { return strings.Compare(a.ID, b.ID) }
 	if !slices.IsSortedFunc(engines, byID) {
@@ -129,7 +131,8 @@
 	return sorted
 }
 
-// nearestModel returns the model that misses most engines; among equals the one whose newest version the engine is nearest to.
+// nearestModel returns the model that lacks the most engines, among equals the one whose newest version is nearest to
+// the engine's.
 func nearestModel(engine fleet.Engine, models []string, targets map[string]int64, missing map[string]int) string {
 	return slices.MinFunc(models, func(a, b string) int {
 		return cmp.Or(
@@ -140,82 +143,84 @@
 	})
 }
 
-// PlanInput is what a plan rests on.
+// PlanInput is the input of Plan.
 type PlanInput struct {
 	Engines []fleet.Engine
-	// Targets are the newest named versions of the pool's models.
+	// Targets are the newest versions of the pool's models that trainers have published.
 	Targets    map[string]int64
 	Assignment Assignment
-	// Loading maps engines that are being ordered now to the model.
+	// Loading maps the engines with an order in progress to their model.
 	Loading map[string]string
-	// AtOnce is how many engines may load together.
-	AtOnce int
+	// MaxLoads is how many engines may load concurrently.
+	MaxLoads int
 }
 
-// Plan returns the engines to order next: models with the smallest part of their engines loading first, of these the ones with
-// the smallest part up to date, so that every trainer finds some engines of the newest version early. Of a model's engines the ones that are
-// furthest behind go first: they are the least use to the jobs that run. It also returns how many engines wait for their turn.
+// Plan returns the engines to order next. Models with the smallest fraction of their engines loading come first, and
+// among these the ones with the smallest fraction up to date, so that every trainer soon has some engines with its
+// newest version. Of a model's engines the most outdated come first, since running jobs can use them least. Plan also
+// returns how many engines remain waiting to load.
 func Plan(input PlanInput) (steps []Step, waiting int) {
 	loading := make(map[string]int)
 	for _, model := range input.Loading {
 		loading[model]++
 	}
 	counts := input.Assignment.counts()
-	fresh := make(map[string]int)
-	behind := make(map[string][]rankedStep)
+	upToDate := make(map[string]int)
+	outdated := make(map[string][]rankedStep)
 	for i, engine := range sortedByZone(input.Engines) {
 		model, assigned := input.Assignment[engine.ID]
 		if !assigned || engine.Draining {
 			continue
 		}
 		if engine.Serves(model) >= input.Targets[model] {
-			fresh[model]++
+			upToDate[model]++
 			continue
 		}
 		if _, busy := input.Loading[engine.ID]; !busy {
-			behind[model] = append(behind[model], rankedStep{Step{Engine: engine, Model: model, Version: input.Targets[model]}, i})
+			outdated[model] = append(outdated[model], rankedStep{Step{Engine: engine, Model: model, Version: input.Targets[model]}, i})
 			waiting++
 		}
 	}
-	for _, ranked := range behind {
+	for _, ranked := range outdated {
 		slices.SortStableFunc(ranked, func(a, b rankedStep) int { return cmp.Compare(b.gap(), a.gap()) })
 	}
-	for waiting > 0 && len(input.Loading)+len(steps) < input.AtOnce {
-		// Of each model the first one goes next.
+	for waiting > 0 && len(input.Loading)+len(steps) < input.MaxLoads {
+		// Compare the first engine of each model.
 		var next rankedStep
-		for _, ranked := range behind {
-			if next.Model == "" || less(ranked[0], next, counts, loading, fresh) {
+		for _, ranked := range outdated {
+			if next.Model == "" || less(ranked[0], next, counts, loading, upToDate) {
 				next = ranked[0]
 			}
 		}
 		steps = append(steps, next.Step)
 		loading[next.Model]++
 		waiting--
-		if behind[next.Model] = behind[next.Model][1:]; len(behind[next.Model]) == 0 {
-			delete(behind, next.Model)
+		if outdated[next.Model] = outdated[next.Model][1:]; len(outdated[next.Model]) == 0 {
+			delete(outdated, next.Model)
 		}
 	}
 	return steps, waiting
 }
 
-// rankedStep is a step with its engine's place among all.
+// rankedStep is a step with the position of its engine in the order of sortedByZone.
 type rankedStep struct {
 	Step
-	place int
+	rank int
 }
 
-// gap is by how many versions the engine is behind.
+// gap returns by how many versions the engine is behind.
 func (s rankedStep) gap() int64 {
 	return s.Version - s.Engine.Serves(s.Model)
 }
 
-// less compares what is loading and up to date of two models as parts of the engines that they have, then how far the engines are behind.
-func less(a, b rankedStep, counts, loading, fresh map[string]int) bool {
-	ofA, ofB := counts[a.Model], counts[b.Model]
+// less compares the loading and the up-to-date engines of two models as fractions of the models' engines, then how far
+// the engines are behind.
+func less(a, b rankedStep, counts, loading, upToDate map[string]int) bool {
+	countA, countB := counts[a.Model], counts[b.Model]
 	return cmp.Or(
-		cmp.Compare(loading[a.Model]*ofB, loading[b.Model]*ofA),
-		cmp.Compare(fresh[a.Model]*ofB, fresh[b.Model]*ofA),
+		cmp.Compare(loading[a.Model]*countB, loading[b.Model]*countA),
+		cmp.Compare(upToDate[a.Model]*countB, upToDate[b.Model]*countA),
 		cmp.Compare(b.gap(), a.gap()),
-		cmp.Compare(a.place, b.place),
+		cmp.Compare(a.rank, b.rank),
 	) < 0
 }
--- a/internal/weightroll/records.go
+++ b/internal/weightroll/records.go
@@ -1,9 +1,10 @@
-// Package weightroll brings the engines of a pool to the weight versions that trainers name. One process at a time orders
-// the engines of a pool. Each order is announced in the store before it is sent, under the fence of the owner's epoch, and is
-// sent only within a short window after that; a successor, whose epoch ends all announcements of its predecessor, waits
-// until a whole lease has gone by since the last order that may have been sent. So an engine never hears two order givers
-// within one lease, whatever clocks, pauses and lost answers do. An order giver is a machine: a process that was started again on
-// the machine of its predecessor goes on at once, since the one before is gone with all its connections.
+// Package weightroll brings the engines of a pool to the weight versions that trainers publish. One process at a time,
+// the owner of the pool's partition, sends load orders to the engines of a pool. Each order is announced in the store
+// before it is sent, fenced by the owner's epoch, and is sent only within a short window after that. A successor, whose
+// epoch prevents further announcements of its predecessor, waits until a whole lease has passed since the last order
+// that may have been sent. So no engine receives orders of two holders within one lease, regardless of clock
+// differences, pauses and lost answers. A holder is a machine: a process that restarts on the machine of its
+// predecessor continues at once, since the earlier process has ended and all its connections are closed.
 package weightroll
 
 import "time"
@@ -16,52 +17,55 @@
 	Pool     string `msg:"pool"`
 	Model    string `msg:"model"`
 	Version  int64  `msg:"version"`
-	// Epoch is that of the owner who ordered, Holder the machine that it ran on.
+	// Epoch is the epoch of the owner that ordered, Holder the machine it ran on.
 	Epoch  int64  `msg:"epoch"`
 	Holder string `msg:"holder"`
-	// Serving says that the engine has been seen to serve the version.
+	// Serving means that the engine was observed to serve the version.
 	Serving bool `msg:"serving"`
-	// Written and Ordered are by the owner's steady clock since it had its epoch: when the record was about to be written, and when that of the
-	// order was; 0 if unknown. Whoever reads them, and when, records of one owner tell by them how far apart they are.
+	// Written and Ordered are times on the owner's monotonic clock since it acquired its epoch: when this record, and
+	// when the record of the order, was about to be written; 0 if unknown. The interval between records of one owner
+	// can be derived from them by any reader at any time.
 	Written time.Duration `msg:"written"`
 	Ordered time.Duration `msg:"ordered"`
-	// Together is how many engines of the pool might load at once, so that the next order giver need not find out anew.
+	// Together is how many engines of the pool may load concurrently, so that the next owner need not determine it
+	// again.
 	Together int `msg:"together"`
 }
 
-// Dealing is the record of which model each engine of a pool is kept up to date for.
-type Dealing struct {
+// AssignmentRecord is the record of the model that each engine of a pool is kept up to date for.
+type AssignmentRecord struct {
 	Pool string `msg:"pool"`
-	// Models are named once; Engines maps the ids of engines to places among them.
+	// Models lists each model once; Engines maps engine ids to indexes into Models.
 	Models  []string       `msg:"models"`
 	Engines map[string]int `msg:"engines"`
 }
 
-// dealingKey begins the keys of dealings; the pool's name follows. No engine's id begins so.
-const dealingKey = "deal/"
+// assignmentKeyPrefix is the key prefix of assignment records, followed by the pool's name. No engine id starts with
+// it.
+const assignmentKeyPrefix = "deal/"
 
-// newDealing returns the record of an assignment.
-func newDealing(pool string, assignment Assignment) Dealing {
-	dealing := Dealing{Pool: pool, Engines: make(map[string]int, len(assignment))}
-	places := make(map[string]int)
+// newAssignmentRecord returns the record of an assignment.
+func newAssignmentRecord(pool string, assignment Assignment) AssignmentRecord {
+	record := AssignmentRecord{Pool: pool, Engines: make(map[string]int, len(assignment))}
+	indexes := make(map[string]int)
 	for id, model := range assignment {
-		place, known := places[model]
+		index, known := indexes[model]
 		if !known {
-			place = len(dealing.Models)
-			places[model] = place
-			dealing.Models = append(dealing.Models, model)
+			index = len(record.Models)
+			indexes[model] = index
+			record.Models = append(record.Models, model)
 		}
-		dealing.Engines[id] = place
+		record.Engines[id] = index
 	}
-	return dealing
+	return record
 }
 
-// assignment returns what the record says. Places that name no model are left out.
-func (d Dealing) assignment() Assignment {
-	assignment := make(Assignment, len(d.Engines))
-	for id, place := range d.Engines {
-		if place >= 0 && place < len(d.Models) {
-			assignment[id] = d.Models[place]
+// assignment returns the assignment in the record. Engines with an index outside Models are omitted.
+func (r AssignmentRecord) assignment() Assignment {
+	assignment := make(Assignment, len(r.Engines))
+	for id, index := range r.Engines {
+		if index >= 0 && index < len(r.Models) {
+			assignment[id] = r.Models[index]
 		}
 	}
 	return assignment
--- a/internal/weightroll/records_gen.go
+++ b/internal/weightroll/records_gen.go
@@ -335,7 +335,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Dealing) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *AssignmentRecord) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -417,7 +417,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Dealing) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *AssignmentRecord) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 3
 	// write "pool"
 	err = en.Append(0x83, 0xa4, 0x70, 0x6f, 0x6f, 0x6c)
@@ -472,7 +472,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Dealing) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AssignmentRecord) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "pool"
@@ -495,7 +495,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Dealing) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AssignmentRecord) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -578,7 +578,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Dealing) Msgsize() (s int) {
+func (z *AssignmentRecord) Msgsize() (s int) {
 	s = 1 + 5 + msgp.StringPrefixSize + len(z.Pool) + 7 + msgp.ArrayHeaderSize
 	for za0001 := range z.Models {
 		s += msgp.StringPrefixSize + len(z.Models[za0001])
--- a/internal/weightroll/roller.go
+++ b/internal/weightroll/roller.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	// writerName names the line of epochs of order givers in a partition.
+	// writerName identifies the sequence of owner epochs in a partition.
 	writerName = "orders"
-	// orderTimeout bounds the answer to an order, reportTimeout that to a report.
+	// orderTimeout limits the wait for the answer to an order, reportTimeout that for a report.
 	orderTimeout  = 700 * time.Millisecond
 	reportTimeout = 500 * time.Millisecond
-	// reportEvery is how often an engine that loads is asked whether it is done.
-	reportEvery = 150 * time.Millisecond
-	// reportFrom is the part of the quickest load's time after which it is asked first.
-	reportFrom = 0.9
-	// loadSmoothing is the weight of a new load in the usual time; loadShortening applies to the quickest when one was over at the
-	// first question.
-	loadSmoothing  = 0.3
-	loadShortening = 0.95
-	// overdueLoads is how many usual load times an order may take before it is planned anew.
-	overdueLoads = 4
-	// replanEvery is how often the plan is looked at when nothing is known to have changed.
-	replanEvery = 100 * time.Millisecond
-	// planRest is how many times as long as a plan took the next one is put off at least: of a pool of thousands plans take milliseconds, and
-	// each load that ends asks for one.
-	planRest = 4
-	// forgetAfter is how long announcements for engines that are gone are kept, in leases.
-	forgetAfter = 4
+	// pollInterval is how often a loading engine is polled for completion.
+	pollInterval = 150 * time.Millisecond
+	// firstPollFraction is the fraction of the shortest load time after which an engine is polled first.
+	firstPollFraction = 0.9
+	// loadTimeSmoothing is the weight of a new sample in the typical load time. shortestLoadFactor is applied to the
+	// shortest load time when a load was complete at the first poll.
+	loadTimeSmoothing  = 0.3
+	shortestLoadFactor = 0.95
+	// overdueFactor is the multiple of the typical load time after which an order is planned again.
+	overdueFactor = 4
+	// replanInterval is how often the plan is computed when nothing is known to have changed.
+	replanInterval = 100 * time.Millisecond
+	// planIdleFactor is the minimum delay between two plans as a multiple of the duration of the last one: a plan for a
+	// pool of thousands of engines takes milliseconds, and each load that ends triggers one.
+	planIdleFactor = 4
+	// departedRetention is how long announcements for departed engines are kept, in leases.
+	departedRetention = 4
 )
 
-// Follower tells how far a partition was read.
+// Follower waits until a partition was read up to a position.
 type Follower interface {
 	WaitFor(ctx context.Context, end int64) error
 }
@@ -55,17 +55,18 @@
 	Catalog   *catalog.Holder
 	Directory *fleet.Directory
 	Client    engineapi.Client
-	// Loads returns what the steps of each model ask of engines, nil if nothing is known of any. JobsKnown tells whether it was read which jobs
-	// there are, so that Loads can be gone by; a nil function stands for always.
+	// Loads returns the load that the steps of each model put on engines, nil if none is known. JobsKnown reports
+	// whether the list of jobs was read, so that the result of Loads is usable; nil means always.
 	Loads     func() map[string]policy.StepLoad
 	JobsKnown func() bool
-	// Paces returns the usual time between two events of a pool's engines, by id, as far as it is known. A nil function stands for none.
+	// Paces returns the typical time between two events of a pool's engines by engine id, as far as known. A nil
+	// function means that none is known.
 	Paces func(pool string) map[string]time.Duration
-	// Node names the holder in orders: the machine, which runs one process at a time.
+	// Node identifies the holder in orders: the machine, which runs one process at a time.
 	Node string
-	// Lease is the least time between the orders of two holders.
+	// Lease is the minimum time between the orders of two holders.
 	Lease time.Duration
-	// OnRolled takes the time from the naming of a version, as this process learnt it, to an engine serving it.
+	// OnRolled is called with the time from when this process learned of a version until an engine serves it.
 	OnRolled func(time.Duration)
 	Logger   *log.Logger
 }
@@ -75,7 +76,7 @@
 	config Config
 }
 
-// NewHolder returns a holder.
+// NewHolder returns a holder that starts rollers with the given configuration.
 func NewHolder(config Config) *Holder {
 	return &Holder{config: config}
 }
@@ -89,17 +90,17 @@
 			Log: h.config.Log, Partition: partition, Name: writerName, Generation: generation, Logger: h.config.Logger,
 		}),
 		assignments: make(map[string]Assignment), shares: make(map[string]map[string]int),
-		looked: make(map[string]shareLook), balancedAt: make(map[string]time.Time), publishing: make(map[string]bool), loading: make(map[string]map[string]string),
-		together: make(map[string]*concurrency), waiting: make(map[string]int),
+		shareChecks: make(map[string]shareCheck), balancedAt: make(map[string]time.Time), publishing: make(map[string]bool), loading: make(map[string]map[string]string),
+		loadLimit: make(map[string]*concurrency), waiting: make(map[string]int),
 		sequences: make(map[string]sequence), retryAt: make(map[string]time.Time), wake: make(chan struct{}, 1),
-		usual: loadUsual, quickest: loadUsual, namedAt: make(map[string]naming),
+		typicalLoad: defaultLoadTime, shortestLoad: defaultLoadTime, latestTargets: make(map[string]versionTarget),
 	}
 	r.announcer = newAnnouncer(r.writer)
 	r.active.Go(func() { r.run(runCtx) })
 	return r
 }
 
-// roller orders the engines of one partition's pools while this process owns it.
+// roller orders the engines of one partition's pools while this process owns the partition.
 type roller struct {
 	config    Config
 	partition keyedlog.Partition
@@ -111,37 +112,39 @@
 
 	mutex       sync.Mutex
 	assignments map[string]Assignment
-	// shares maps pools to how many engines each model is to have.
+	// shares maps pools to the number of engines that each model is to have.
 	shares map[string]map[string]int
-	// looked holds when these were last worked out, by pool; balancedAt when engines were last compared by pace.
-	looked     map[string]shareLook
-	balancedAt map[string]time.Time
-	// loading maps pools to the engines that are being ordered, with the model.
+	// shareChecks maps pools to the last computation of shares, balancedAt to the last comparison of engines by pace.
+	shareChecks map[string]shareCheck
+	balancedAt  map[string]time.Time
+	// loading maps pools to the engines with an order in progress, each with its model.
 	loading map[string]map[string]string
-	// publishing holds the pools whose assignment is being told.
+	// publishing holds the pools whose assignment is being published.
 	publishing map[string]bool
-	// sequences holds how many orders each engine has taken, by engine, as far as this process knows.
+	// sequences maps engine ids to the number of orders that the engine has accepted, as far as this process knows.
 	sequences map[string]sequence
 	retryAt   map[string]time.Time
-	// usual is the smoothed time of a load, quickest the shortest.
-	usual    time.Duration
-	quickest time.Duration
-	// together holds, by pool, how many engines may load at once; waiting how many wait for their turn.
-	together map[string]*concurrency
-	waiting  map[string]int
-	namedAt  map[string]naming
+	// typicalLoad is the smoothed load time, shortestLoad the shortest one.
+	typicalLoad  time.Duration
+	shortestLoad time.Duration
+	// loadLimit maps pools to the number of engines that may load concurrently, waiting to the number of engines
+	// waiting to load.
+	loadLimit map[string]*concurrency
+	waiting   map[string]int
+	// latestTargets maps models to their newest version known to this process.
+	latestTargets map[string]versionTarget
 }
 
-// sequence is how many orders an incarnation of an engine has taken since its start.
+// sequence is how many orders an incarnation of an engine has accepted since its start.
 type sequence struct {
 	engine fleet.Engine
 	orders int64
 }
 
-// naming is a version of a model and when this process learnt of it.
-type naming struct {
-	version int64
-	at      time.Time
+// versionTarget is a version of a model and when this process learned of it.
+type versionTarget struct {
+	version   int64
+	learnedAt time.Time
 }
 
 func (r *roller) run(ctx context.Context) {
@@ -149,19 +152,19 @@
 	if err != nil {
 		return
 	}
-	r.announcer.started = time.Now()
+	r.announcer.epochStart = time.Now()
 	if err := r.config.Followers[r.partition.Number].WaitFor(ctx, end); err != nil {
 		return
 	}
 	r.config.Logger.Info("order lease taken over", "partition", r.partition, "epoch", r.writer.Epoch(), "end", end)
-	ticker := time.NewTicker(replanEvery)
+	ticker := time.NewTicker(replanInterval)
 	defer ticker.Stop()
 	cleanup := time.NewTicker(r.config.Lease)
 	defer cleanup.Stop()
 	for {
-		began := time.Now()
+		started := time.Now()
 		r.plan(ctx)
-		if !pause.For(ctx, planRest*time.Since(began)) {
+		if !pause.For(ctx, planIdleFactor*time.Since(started)) {
 			return
 		}
 		select {
@@ -169,7 +172,7 @@
 		case <-r.wake:
 		case <-ticker.C:
 		case <-cleanup.C:
-			r.forget(ctx)
+			r.removeDeparted(ctx)
 		case <-r.writer.Superseded():
 			return
 		case <-ctx.Done():
@@ -178,30 +181,30 @@
 	}
 }
 
-// plan starts the orders that are due in the pools of the partition.
+// plan starts the pending orders in the pools of the partition.
 func (r *roller) plan(ctx context.Context) {
 	current := r.config.Catalog.Current()
 	if current == nil {
 		return
 	}
-	named := r.config.Catalog.Versions()
+	versions := r.config.Catalog.Versions()
 	partitions := r.config.Log.Partitions(keyedlog.TopicWeights)
 	for _, pool := range current.Pools {
 		if len(pool.Models) > 0 && PartitionOf(pool.Name, partitions) == r.partition {
-			r.planPool(ctx, current, pool, named)
+			r.planPool(ctx, current, pool, versions)
 		}
 	}
 }
 
-func (r *roller) planPool(ctx context.Context, current *catalog.Catalog, pool catalog.Pool, named map[string]int64) {
+func (r *roller) planPool(ctx context.Context, current *catalog.Catalog, pool catalog.Pool, versions map[string]int64) {
 	targets := make(map[string]int64, len(pool.Models))
 	for _, model := range pool.Models {
-		targets[model] = named[model]
+		targets[model] = versions[model]
 	}
 	now := time.Now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.noteNames(targets, now)
+	r.recordTargets(targets, now)
 	var engines []fleet.Engine
 	for _, engine := range r.config.Directory.Pool(pool.Name) {
 		if !engine.Draining {
@@ -221,77 +224,78 @@
 		}
 	}
 	mode := loadMode(current, pool.Name)
-	together := r.together[pool.Name]
-	if together == nil {
-		together = new(concurrency)
-		r.together[pool.Name] = together
+	loadLimit := r.loadLimit[pool.Name]
+	if loadLimit == nil {
+		loadLimit = new(concurrency)
+		r.loadLimit[pool.Name] = loadLimit
 	}
-	together.startAt(len(engines), r.config.Board.together(pool.Name))
+	loadLimit.setInitial(len(engines), r.config.Board.loadLimit(pool.Name))
 	steps, waiting := Plan(PlanInput{
-		Engines: ready, Targets: targets, Assignment: assignment, Loading: loading, AtOnce: together.limit(),
+		Engines: ready, Targets: targets, Assignment: assignment, Loading: loading, MaxLoads: loadLimit.limit(),
 	})
 	r.waiting[pool.Name] = waiting
 	for _, step := range steps {
 		loading[step.Engine.ID] = step.Model
 	}
-	under := len(loading)
+	concurrent := len(loading)
 	for _, step := range steps {
-		r.active.Go(func() { r.carryOut(ctx, pool.Name, step, mode, under) })
+		r.active.Go(func() { r.runStep(ctx, pool.Name, step, mode, concurrent) })
 	}
 }
 
-// noteNames remembers when this process learnt of each target.
-func (r *roller) noteNames(targets map[string]int64, now time.Time) {
+// recordTargets records when this process learned of each target version.
+func (r *roller) recordTargets(targets map[string]int64, now time.Time) {
 	for model, version := range targets {
-		if r.namedAt[model].version < version {
-			r.namedAt[model] = naming{version: version, at: now}
+		if r.latestTargets[model].version < version {
+			r.latestTargets[model] = versionTarget{version: version, learnedAt: now}
 		}
 	}
 }
 
-// loadMode says what becomes of an engine's runs when it loads: they go on under the new version, unless the pool has a route
-// whose texts may not mix versions; then they end first. Cutting them off, to be taken up elsewhere at once, was tried: it
-// reads more prompts anew, opens more connections, and is no faster.
+// loadMode returns how the runs of an engine are handled when it loads: they continue with the new version, unless the
+// pool has a route whose texts may not mix versions; then they finish first. Cutting them off to continue them
+// elsewhere at once reads more prompts again, opens more connections, and is no faster.
 func loadMode(current *catalog.Catalog, pool string) engineapi.LoadMode {
 	for _, route := range current.Routes {
-		if route.SingleVersion && leadsTo(route, pool) {
+		if route.SingleVersion && routesTo(route, pool) {
 			return engineapi.LoadWaits
 		}
 	}
 	return engineapi.LoadKeeps
 }
 
-func leadsTo(route catalog.Route, pool string) bool {
+func routesTo(route catalog.Route, pool string) bool {
 	return slices.ContainsFunc(route.Targets, func(target catalog.Target) bool { return target.Pool == pool })
 }
 
-// allowedAt is when an engine may hear this holder: a lease after the last moment at which another may have announced an order to it. What an
-// earlier process of this machine ordered is this holder's own.
+// allowedAt returns the earliest time at which this holder may send an engine an order: a lease after the last time at
+// which another holder may have announced one to it. Orders of an earlier process on this machine are this holder's
+// own.
 func (r *roller) allowedAt(engineID string) time.Time {
-	last, ordered := r.config.Board.last(engineID)
-	if !ordered || last.Epoch == r.writer.Epoch() || last.Holder == r.config.Node {
+	lastOrder, ordered := r.config.Board.lastOrder(engineID)
+	if !ordered || lastOrder.Epoch == r.writer.Epoch() || lastOrder.Holder == r.config.Node {
 		return time.Time{}
 	}
-	return last.announcedBy.Add(fencing.TurnAfter(r.config.Lease))
+	return lastOrder.announcedBefore.Add(fencing.TurnAfter(r.config.Lease))
 }
 
-// carryOut brings one engine to a version. under is how many loads of the pool are under way, this one included.
-func (r *roller) carryOut(ctx context.Context, pool string, step Step, mode engineapi.LoadMode, under int) {
+// runStep brings one engine to a version. concurrent is the number of loads in progress in the pool, this one included.
+func (r *roller) runStep(ctx context.Context, pool string, step Step, mode engineapi.LoadMode, concurrent int) {
 	started := time.Now()
 	load, err := r.order(ctx, pool, step, mode)
 	served := err == nil
 	r.mutex.Lock()
 	delete(r.loading[pool], step.Engine.ID)
 	if !served {
-		r.retryAt[step.Engine.ID] = time.Now().Add(reportEvery)
+		r.retryAt[step.Engine.ID] = time.Now().Add(pollInterval)
 	}
-	r.learnTogether(pool, load, under)
-	named := r.namedAt[step.Model]
+	r.adjustConcurrency(pool, load, concurrent)
+	target := r.latestTargets[step.Model]
 	r.mutex.Unlock()
 	r.config.Logger.Info("load ended", "engine", step.Engine.ID, "model", step.Model, "version", step.Version,
 		"epoch", r.writer.Epoch(), "served", served, "error", err, "took", time.Since(started).Round(time.Millisecond), "load", load.Round(time.Millisecond))
-	if served && named.version == step.Version && r.config.OnRolled != nil {
-		r.config.OnRolled(time.Since(named.at))
+	if served && target.version == step.Version && r.config.OnRolled != nil {
+		r.config.OnRolled(time.Since(target.learnedAt))
 	}
 	select {
 	case r.wake <- struct{}{}:
@@ -299,24 +303,24 @@
 	}
 }
 
-// learnTogether takes how long a load took, 0 for an order that says nothing of that, and tells when the number that may load
-// together has changed. What the store of announcements took does not count: that many engines wait for it together says nothing of
-// the store of weights.
-func (r *roller) learnTogether(pool string, took time.Duration, under int) {
-	together := r.together[pool]
-	before := together.limit()
-	together.loaded(took, under, r.waiting[pool] > 0, time.Now())
-	if after := together.limit(); after != before {
+// adjustConcurrency records the duration of a load, 0 for an order that shows none, and logs a change of the number of
+// concurrent loads. The duration excludes the time that the store of announcements took: engines that wait for it
+// together show nothing about the store of weights.
+func (r *roller) adjustConcurrency(pool string, elapsed time.Duration, concurrent int) {
+	loadLimit := r.loadLimit[pool]
+	before := loadLimit.limit()
+	loadLimit.observe(elapsed, concurrent, r.waiting[pool] > 0, time.Now())
+	if after := loadLimit.limit(); after != before {
 		r.config.Logger.Info("loads at once changed", "pool", pool, "before", before, "after", after,
-			"loads_per_s", together.rate, "waiting", r.waiting[pool])
+			"loads_per_s", loadLimit.rate, "waiting", r.waiting[pool])
 	}
 }
 
-// forget drops announcements for engines that are long gone.
-func (r *roller) forget(ctx context.Context) {
-	before := time.Now().Add(-forgetAfter * r.config.Lease)
+// removeDeparted removes announcements for engines that left several leases ago.
+func (r *roller) removeDeparted(ctx context.Context) {
+	before := time.Now().Add(-departedRetention * r.config.Lease)
 	var records []keyedlog.Record
-	for _, id := range r.config.Board.gone(r.partition, r.config.Log.Partitions(keyedlog.TopicWeights), before) {
+	for _, id := range r.config.Board.departed(r.partition, r.config.Log.Partitions(keyedlog.TopicWeights), before) {
 		records = append(records, keyedlog.Record{Key: id})
 	}
 	if len(records) > 0 {
@@ -324,13 +328,13 @@
 	}
 }
 
-// Release ends the work; orders under way are given up.
+// Release stops the roller and abandons the orders in progress.
 func (r *roller) Release(context.Context) {
 	r.cancel()
 	r.active.Wait()
 }
 
-// Superseded is closed when another order giver has a higher epoch.
+// Superseded returns a channel that is closed when another owner has a higher epoch.
 func (r *roller) Superseded() <-chan struct{} {
 	return r.writer.Superseded()
 }
--- a/internal/weightroll/share_test.go
+++ b/internal/weightroll/share_test.go
@@ -11,87 +11,87 @@
 	"github.com/matryer/is"
 )
 
-// asked is what the steps of two models ask; it may change while order givers read it.
-type asked struct {
+// stepLoads holds the load of the steps of two models; it may change while owners read it.
+type stepLoads struct {
 	loads atomic.Pointer[map[string]policy.StepLoad]
 }
 
-func (a *asked) set(m, n time.Duration) {
-	a.loads.Store(&map[string]policy.StepLoad{"m": {Work: m}, "n": {Work: n}})
+func (l *stepLoads) set(m, n time.Duration) {
+	l.loads.Store(&map[string]policy.StepLoad{"m": {Work: m}, "n": {Work: n}})
 }
 
-// sharing returns a node whose pool has two models that ask so much.
-func (w *world) sharing(name string, a *asked) *node {
-	n := w.node(name)
+// twoModelNode returns a node whose pool has two models with the given loads.
+func (env *testEnv) twoModelNode(name string, steps *stepLoads) *node {
+	n := env.node(name)
 	n.catalog.Set(catalog.New(2, nil, map[string]catalog.Pool{
 		poolName: {Name: poolName, Models: []string{"m", "n"}},
 	}, catalog.Limits{}))
-	n.holder.config.Loads = func() map[string]policy.StepLoad { return *a.loads.Load() }
+	n.holder.config.Loads = func() map[string]policy.StepLoad { return *steps.loads.Load() }
 	return n
 }
 
-// dealt returns the assignment of the pool that the node has read.
-func (n *node) dealt() Assignment {
+// assignment returns the assignment of the pool that the node has read.
+func (n *node) assignment() Assignment {
 	return n.holder.config.Directory.Dealt(poolName)
 }
 
-// TestAllProcessesLearnWhichEnginesAreWhose checks that every process knows the newest assignment of a pool, and that a successor
-// goes on from it.
-func TestAllProcessesLearnWhichEnginesAreWhose(t *testing.T) {
+// TestAllProcessesLearnTheAssignment checks that every process reads the newest assignment of a pool, and that a
+// successor continues with it.
+func TestAllProcessesLearnTheAssignment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 12)
-		var asked asked
-		asked.set(90*time.Second, 30*time.Second)
-		nodes := []*node{w.sharing("first", &asked), w.sharing("second", &asked)}
-		nodes[0].own(1)
+		env := newTestEnv(t, 12)
+		var stepLoads stepLoads
+		stepLoads.set(90*time.Second, 30*time.Second)
+		nodes := []*node{env.twoModelNode("first", &stepLoads), env.twoModelNode("second", &stepLoads)}
+		nodes[0].becomeOwner(1)
 		time.Sleep(time.Second)
-		dealt := nodes[1].dealt()
-		is.Equal(len(dealt), 12)
-		is.True(dealt.counts()["m"] > dealt.counts()["n"])
+		assignment := nodes[1].assignment()
+		is.Equal(len(assignment), 12)
+		is.True(assignment.counts()["m"] > assignment.counts()["n"])
 
-		// Work shifts: the numbers follow, and the others learn of it.
-		asked.set(30*time.Second, 90*time.Second)
+		// Work moves from one model to the other: the engine counts follow, and the other node reads the change.
+		stepLoads.set(30*time.Second, 90*time.Second)
 		time.Sleep(time.Second)
-		shifted := nodes[1].dealt()
-		is.Equal(shifted.counts(), map[string]int{"m": dealt.counts()["n"], "n": dealt.counts()["m"]})
+		shifted := nodes[1].assignment()
+		is.Equal(shifted.counts(), map[string]int{"m": assignment.counts()["n"], "n": assignment.counts()["m"]})
 
 		nodes[0].release()
-		nodes[1].own(2)
+		nodes[1].becomeOwner(2)
 		time.Sleep(5 * time.Second)
-		is.Equal(nodes[0].dealt(), shifted)
+		is.Equal(nodes[0].assignment(), shifted)
 		nodes[1].release()
 	})
 }
 
-// TestEnginesThatAreUpToDateStay checks that a shift of work moves no engine that serves the newest version of its model, and that
-// engines move once a newer one is named: they would load in any case.
-func TestEnginesThatAreUpToDateStay(t *testing.T) {
+// TestUpToDateEnginesAreNotReassigned checks that a shift of work moves no engine that serves the newest version of its
+// model, and that engines move once a newer version is published, when they have to load in any case.
+func TestUpToDateEnginesAreNotReassigned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 12)
-		var asked asked
-		asked.set(90*time.Second, 30*time.Second)
-		only := w.sharing("only", &asked)
-		dealt := func() map[string]int { return only.dealt().counts() }
-		only.own(1)
+		env := newTestEnv(t, 12)
+		var stepLoads stepLoads
+		stepLoads.set(90*time.Second, 30*time.Second)
+		only := env.twoModelNode("only", &stepLoads)
+		assignedCounts := func() map[string]int { return only.assignment().counts() }
+		only.becomeOwner(1)
 		only.catalog.SetVersion("m", 2)
 		only.catalog.SetVersion("n", 2)
 		time.Sleep(20 * loadTime)
-		before := dealt()
-		orders := len(w.engines.Orders())
+		before := assignedCounts()
+		orders := len(env.engines.Orders())
 		is.Equal(orders, 12)
 
-		asked.set(30*time.Second, 90*time.Second)
+		stepLoads.set(30*time.Second, 90*time.Second)
 		time.Sleep(5 * time.Second)
-		is.Equal(dealt(), before)
-		is.Equal(len(w.engines.Orders()), orders)
+		is.Equal(assignedCounts(), before)
+		is.Equal(len(env.engines.Orders()), orders)
 
 		only.catalog.SetVersion("m", 3)
 		time.Sleep(20 * loadTime)
-		is.Equal(dealt(), map[string]int{"m": before["n"], "n": before["m"]})
+		is.Equal(assignedCounts(), map[string]int{"m": before["n"], "n": before["m"]})
 		// Each engine that served the old version has loaded once.
-		is.Equal(len(w.engines.Orders()), orders+before["m"])
+		is.Equal(len(env.engines.Orders()), orders+before["m"])
 		only.release()
 	})
 }
--- a/internal/weightroll/size_test.go
+++ b/internal/weightroll/size_test.go
@@ -26,8 +26,8 @@
 	return directory, ids
 }
 
-// BenchmarkPlanLargePool plans for 7,777 engines of which eight models need 90 each, after one has changed: 74 ms with all of them looked at
-// in each step, 6.8 ms with those that models may have.
+// BenchmarkPlanLargePool plans for 7,777 engines, of which eight models need 90 each, after a change of one engine. A
+// plan takes 74 ms when every step examines all engines, and 6.8 ms with candidateEngines.
 func BenchmarkPlanLargePool(b *testing.B) {
 	directory, ids := largePool(7777, 8)
 	targets, shares := make(map[string]int64), make(map[string]int)
@@ -35,25 +35,26 @@
 		targets[fmt.Sprint("model", i)], shares[fmt.Sprint("model", i)] = 3, 90
 	}
 	var previous Assignment
-	stays := func(fleet.Engine, string) bool { return false }
+	pinned := func(fleet.Engine, string) bool { return false }
 	version := int64(1)
 	for b.Loop() {
 		version++
 		directory.SetServes(ids[version%7777], "model1", version)
-		engines := relevant(directory.Pool("p"), previous, shares)
-		previous = Assign(engines, targets, previous, shares, stays)
-		Plan(PlanInput{Engines: engines, Targets: targets, Assignment: previous, AtOnce: 600})
+		engines := candidateEngines(directory.Pool("p"), previous, shares)
+		previous = Assign(engines, targets, previous, shares, pinned)
+		Plan(PlanInput{Engines: engines, Targets: targets, Assignment: previous, MaxLoads: 600})
 	}
 }
 
-// BenchmarkPlaceInLargePool gives an engine of such a pool to one item: 24 ms with all engines considered, 0.8 ms with some hundreds.
+// BenchmarkPlaceInLargePool assigns an engine of such a pool to one item: 24 ms when all engines are considered, 0.8 ms
+// with some hundreds.
 func BenchmarkPlaceInLargePool(b *testing.B) {
 	directory, ids := largePool(7777, 8)
-	dealt := make(map[string]string)
+	assigned := make(map[string]string)
 	for i := range 720 {
-		dealt[ids[i]] = fmt.Sprint("model", i%8)
+		assigned[ids[i]] = fmt.Sprint("model", i%8)
 	}
-	directory.SetDealt("p", dealt)
+	directory.SetDealt("p", assigned)
 	want := fleet.Want{Pool: "p", Model: "model1", MinVersion: 1, Share: 1, Events: 10, Zone: "zone-1", Affinity: "x", Since: time.Now()}
 	for b.Loop() {
 		for _, engine := range directory.Assign([]fleet.Want{want}) {
@@ -62,27 +63,27 @@
 	}
 }
 
-// TestAPlanLooksAtTheEnginesThatModelsMayHave deals a large pool: models have their share, spread over zones, what is planned with does not
-// grow with the pool, and an engine that goes is replaced.
-func TestAPlanLooksAtTheEnginesThatModelsMayHave(t *testing.T) {
+// TestPlanIsLimitedToCandidateEngines assigns a large pool. Models get their share, spread over zones, the number of
+// engines in a plan does not grow with the pool, and an engine that leaves is replaced.
+func TestPlanIsLimitedToCandidateEngines(t *testing.T) {
 	is := is.New(t)
 	directory, ids := largePool(5000, 4)
 	targets, shares := make(map[string]int64), make(map[string]int)
 	for i := range 4 {
 		targets[fmt.Sprint("model", i)], shares[fmt.Sprint("model", i)] = 2, 25
 	}
-	stays := func(fleet.Engine, string) bool { return true }
-	var dealt Assignment
-	deal := func(most int) {
+	pinned := func(fleet.Engine, string) bool { return true }
+	var assigned Assignment
+	reassign := func(maxEngines int) {
 		t.Helper()
-		engines := relevant(directory.Pool("p"), dealt, shares)
-		is.True(len(engines) <= most)
-		dealt = Assign(engines, targets, dealt, shares, stays)
-		is.Equal(dealt.counts(), shares)
+		engines := candidateEngines(directory.Pool("p"), assigned, shares)
+		is.True(len(engines) <= maxEngines)
+		assigned = Assign(engines, targets, assigned, shares, pinned)
+		is.Equal(assigned.counts(), shares)
 	}
-	deal(100)
+	reassign(100)
 	zones := make(map[string]int)
-	for id := range dealt {
+	for id := range assigned {
 		engine, _ := directory.Engine(id)
 		zones[engine.Zone]++
 	}
@@ -91,67 +92,68 @@
 		is.Equal(count, 20)
 	}
 	for _, id := range ids {
-		if dealt[id] != "" {
+		if assigned[id] != "" {
 			directory.Remove(id)
 			break
 		}
 	}
-	deal(100)
+	reassign(100)
 	shares["model0"] = 30
-	deal(105)
+	reassign(105)
 }
 
-// TestATakeoverKeepsToTheDealingWhileEnginesAreMissing has an order giver take over that has met half of the engines so far. It must order
-// those of them that its predecessor had dealt at once, and none in the place of those that it has not met.
-func TestATakeoverKeepsToTheDealingWhileEnginesAreMissing(t *testing.T) {
+// TestTakeoverKeepsAssignmentWhileEnginesAreMissing takes ownership over while half of the engines are not known yet.
+// The new owner must at once order the known engines that its predecessor had assigned, and must not replace the
+// unknown ones.
+func TestTakeoverKeepsAssignmentWhileEnginesAreMissing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 8)
-		next := w.node("next")
+		env := newTestEnv(t, 8)
+		next := env.node("next")
 		directory := next.holder.config.Directory
-		dealt := make(Assignment)
-		for _, engine := range []fleet.Engine{w.pool[0], w.pool[1], w.pool[6], w.pool[7]} {
-			dealt[engine.ID] = model
+		assigned := make(Assignment)
+		for _, engine := range []fleet.Engine{env.pool[0], env.pool[1], env.pool[6], env.pool[7]} {
+			assigned[engine.ID] = model
 		}
-		directory.SetDealt(poolName, dealt)
+		directory.SetDealt(poolName, assigned)
 		directory.SetPartial(true)
-		for _, engine := range w.pool[4:] {
+		for _, engine := range env.pool[4:] {
 			directory.Remove(engine.ID)
 		}
-		next.own(1)
+		next.becomeOwner(1)
 		next.catalog.SetVersion(model, 2)
 		time.Sleep(4 * loadTime)
-		is.Equal(w.versions(), []int64{2, 2, 1, 1, 1, 1, 1, 1})
+		is.Equal(env.versions(), []int64{2, 2, 1, 1, 1, 1, 1, 1})
 
-		for _, engine := range w.pool[4:] {
+		for _, engine := range env.pool[4:] {
 			directory.Upsert(engine)
 		}
 		directory.SetPartial(false)
 		time.Sleep(8 * loadTime)
-		is.Equal(len(w.engines.Orders()), 8)
+		is.Equal(len(env.engines.Orders()), 8)
 		next.release()
 	})
 }
 
-// TestATakeoverKeepsToTheDealingWhileJobsAreUnknown has an order giver take over that knows all engines and has not read yet which jobs there are:
-// it must not deal and load engines for steps that it merely doesn't know.
-func TestATakeoverKeepsToTheDealingWhileJobsAreUnknown(t *testing.T) {
+// TestTakeoverKeepsAssignmentWhileJobsAreUnknown takes ownership over when all engines are known but the list of jobs
+// was not read yet. The new owner must not assign and load engines for steps that it does not know.
+func TestTakeoverKeepsAssignmentWhileJobsAreUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 8)
-		next := w.node("next")
+		env := newTestEnv(t, 8)
+		next := env.node("next")
 		var known atomic.Bool
 		next.holder.config.JobsKnown = known.Load
-		dealt := Assignment{w.pool[0].ID: model, w.pool[6].ID: model}
-		next.holder.config.Directory.SetDealt(poolName, dealt)
-		next.own(1)
+		assigned := Assignment{env.pool[0].ID: model, env.pool[6].ID: model}
+		next.holder.config.Directory.SetDealt(poolName, assigned)
+		next.becomeOwner(1)
 		next.catalog.SetVersion(model, 2)
 		time.Sleep(4 * loadTime)
-		is.Equal(w.versions(), []int64{2, 1, 1, 1, 1, 1, 2, 1})
+		is.Equal(env.versions(), []int64{2, 1, 1, 1, 1, 1, 2, 1})
 
 		known.Store(true)
 		time.Sleep(8 * loadTime)
-		is.Equal(len(w.engines.Orders()), 8)
+		is.Equal(len(env.engines.Orders()), 8)
 		next.release()
 	})
 }
