--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -1,7 +1,8 @@
-// Package scaler orders engines from the platform as steps need them. It is a duty: one machine orders at a time. How many, and where, is
-// decided by package policy from what the last steps took; this package gathers that, sends the orders and keeps what was ordered, so
-// that a successor goes on from there. Regular engines are left as they are; what steps need beyond them is ordered as engines that the
-// platform may take away, which cost a part of the price: runs go on elsewhere when that happens.
+// Package scaler orders engines from the platform according to the needs of steps. It is a duty: one machine at a time
+// orders. Package policy decides how many engines to order, and in which zones, from the loads of the last steps. This
+// package collects the loads, sends the orders and stores what was ordered, so that a successor continues from there.
+// Regular engines are not changed. Engines that steps need beyond them are ordered as preemptible engines, which the
+// platform may take away and which cost a fraction of the price; their runs then continue on other engines.
 package scaler
 
 import (
@@ -21,19 +22,19 @@
 )
 
 const (
-	// ordersKey is the key of the record of what was ordered in the duty's partition.
+	// ordersKey is the key of the record of orders in the duty's partition.
 	ordersKey = "orders"
-	// lookEvery is how often it is looked at what steps need: a small part of what an engine takes to boot.
-	lookEvery = 500 * time.Millisecond
-	// refusedFor is how long a zone that had no more engines is not asked for more.
-	refusedFor = 5 * time.Second
-	// shrinkAfter is how long engines must have been needless before they are given back: some steps.
-	shrinkAfter = 30 * time.Second
-	// callTimeout bounds one order.
+	// checkInterval is how often the needs of steps are checked: a small fraction of the boot time of an engine.
+	checkInterval = 500 * time.Millisecond
+	// refusalBackoff is how long no more engines are ordered in a zone that had none left.
+	refusalBackoff = 5 * time.Second
+	// shrinkDelay is how long engines must have been surplus before they are returned: the time of some steps.
+	shrinkDelay = 30 * time.Second
+	// callTimeout limits the call for one order.
 	callTimeout = 400 * time.Millisecond
 )
 
-// Order is how many engines of a kind a zone is to have.
+// Order is the number of engines of a kind that a zone is to have.
 type Order struct {
 	Pool        string
 	Zone        string
@@ -41,16 +42,16 @@
 	Count       int
 }
 
-// Outcome is what became of an order.
+// Outcome is the outcome of an order.
 type Outcome int
 
 // Outcomes of orders.
 const (
-	// Unknown says that the order drew no answer, or was not looked at.
+	// Unknown means that the order got no answer, or was not processed.
 	Unknown Outcome = iota
-	// Taken says that the zone is to have so many.
+	// Taken means that the zone is to have as many engines as ordered.
 	Taken
-	// NoneLeft says that there are no more engines to be had in the zone now.
+	// NoneLeft means that the zone has no more engines available now.
 	NoneLeft
 )
 
@@ -61,9 +62,9 @@
 	return outcomeNames[o]
 }
 
-// Provider takes orders.
+// Provider accepts orders.
 type Provider interface {
-	// OrderEngines orders engines. token is that of the duty's holder. A repeat changes nothing.
+	// OrderEngines orders engines. token is the token of the duty's holder. Repeating an order has no effect.
 	OrderEngines(ctx context.Context, token int64, order Order) (Outcome, error)
 }
 
@@ -72,7 +73,7 @@
 	Provider  Provider
 	Catalog   *catalog.Holder
 	Directory *fleet.Directory
-	// Loads returns what the steps of each model ask of engines.
+	// Loads returns the load that the steps of each model put on engines.
 	Loads  func() map[string]policy.StepLoad
 	Logger *log.Logger
 }
@@ -82,49 +83,49 @@
 	config Config
 }
 
-// New returns a scaler.
+// New returns a scaler with the given configuration.
 func New(config Config) *Scaler {
 	return &Scaler{config: config}
 }
 
-// Name names the duty in logs.
+// Name returns the name of the duty in logs.
 func (s *Scaler) Name() string { return "engines" }
 
 // Perform orders engines until the context ends.
 func (s *Scaler) Perform(ctx context.Context, tenure *duty.Tenure) {
 	t := &term{
-		config: s.config, tenure: tenure, ordered: make(map[string]map[string]int), taken: make(map[subject]bool),
-		refused: make(map[subject]time.Time), needless: make(map[string]time.Time),
+		config: s.config, tenure: tenure, ordered: make(map[string]map[string]int), accepted: make(map[poolZone]bool),
+		refusedUntil: make(map[poolZone]time.Time), surplusSince: make(map[string]time.Time),
 	}
-	t.recover()
+	t.restore()
 	for {
-		if !t.look(ctx) || !pause.For(ctx, lookEvery) {
+		if !t.check(ctx) || !pause.For(ctx, checkInterval) {
 			return
 		}
 	}
 }
 
-// subject is what an order is about.
-type subject struct {
+// poolZone is a zone of a pool, the target of an order.
+type poolZone struct {
 	pool, zone string
 }
 
-// term is the time for which this process holds the duty. Only the goroutine of Perform touches it.
+// term is the state for the time in which this process holds the duty. Only the goroutine of Perform accesses it.
 type term struct {
 	config Config
 	tenure *duty.Tenure
-	// ordered is how many preemptible engines were ordered last, by pool and zone; taken holds the subjects of which this process
-	// knows that the order was taken.
-	ordered map[string]map[string]int
-	taken   map[subject]bool
-	// refused holds until when a zone is not asked for more.
-	refused map[subject]time.Time
-	// needless is since when a pool has had engines to give back.
-	needless map[string]time.Time
+	// ordered is the number of preemptible engines last ordered, by pool and zone; accepted holds the zones whose last
+	// order this process knows to be accepted.
+	ordered  map[string]map[string]int
+	accepted map[poolZone]bool
+	// refusedUntil maps zones that had no engines left to the end of their refusalBackoff.
+	refusedUntil map[poolZone]time.Time
+	// surplusSince maps pools to the time since which they have had surplus engines.
+	surplusSince map[string]time.Time
 }
 
-// recover takes what earlier holders have ordered.
-func (t *term) recover() {
+// restore reads the orders of earlier holders.
+func (t *term) restore() {
 	value := t.tenure.Record(ordersKey)
 	if value == nil {
 		return
@@ -139,26 +140,26 @@
 	}
 }
 
-// look orders what is due. It returns false at the end of the tenure.
-func (t *term) look(ctx context.Context) bool {
+// check sends the pending orders. It returns false at the end of the tenure.
+func (t *term) check(ctx context.Context) bool {
 	current := t.config.Catalog.Current()
 	if current == nil || !t.config.Directory.Known() || t.config.Directory.Partial() {
 		return true
 	}
-	var due []Order
+	var pending []Order
 	loads := t.config.Loads()
 	for _, name := range slices.Sorted(maps.Keys(current.Pools)) {
 		if pool := current.Pools[name]; pool.Scaling != nil && len(pool.Models) > 0 {
-			due = append(due, t.plan(pool, loads)...)
+			pending = append(pending, t.plan(pool, loads)...)
 		}
 	}
-	if len(due) == 0 {
+	if len(pending) == 0 {
 		return true
 	}
-	return t.send(ctx, due)
+	return t.send(ctx, pending)
 }
 
-// plan returns the orders that are due for a pool.
+// plan returns the pending orders of a pool.
 func (t *term) plan(pool catalog.Pool, loads map[string]policy.StepLoad) []Order {
 	zones, slots := t.zones(pool)
 	if slots == 0 {
@@ -173,21 +174,21 @@
 	if !t.mayShrink(pool.Name, zones, counts) {
 		return nil
 	}
-	var due []Order
+	var pending []Order
 	for i, zone := range zones {
-		about := subject{pool.Name, zone.Zone}
-		if counts[i] != zone.Preemptible || zone.Preemptible > 0 && !t.taken[about] {
-			due = append(due, Order{Pool: pool.Name, Zone: zone.Zone, Preemptible: true, Count: counts[i]})
+		key := poolZone{pool.Name, zone.Zone}
+		if counts[i] != zone.Preemptible || zone.Preemptible > 0 && !t.accepted[key] {
+			pending = append(pending, Order{Pool: pool.Name, Zone: zone.Zone, Preemptible: true, Count: counts[i]})
 		}
 	}
-	if len(due) > 0 {
-		t.config.Logger.Info("engines are to be ordered", "pool", pool.Name, "regular", regular, "wanted", wanted, "orders", due,
+	if len(pending) > 0 {
+		t.config.Logger.Info("engines are to be ordered", "pool", pool.Name, "regular", regular, "wanted", wanted, "orders", pending,
 			"loads", loads)
 	}
-	return due
+	return pending
 }
 
-// mayShrink tells whether orders may be sent: those for fewer engines in all only once engines have been needless for long.
+// mayShrink reports whether orders may be sent. Orders for fewer engines in total may be sent only after shrinkDelay.
 func (t *term) mayShrink(pool string, zones []policy.ZoneEngines, counts []int) bool {
 	before, after := 0, 0
 	for i, zone := range zones {
@@ -195,19 +196,19 @@
 		after += counts[i]
 	}
 	if after >= before {
-		delete(t.needless, pool)
+		delete(t.surplusSince, pool)
 		return true
 	}
-	since, known := t.needless[pool]
+	since, known := t.surplusSince[pool]
 	if !known {
-		t.needless[pool] = time.Now()
+		t.surplusSince[pool] = time.Now()
 		return false
 	}
-	return time.Since(since) >= shrinkAfter
+	return time.Since(since) >= shrinkDelay
 }
 
-// zones returns the zones in which engines of a pool can be had, in order, with what is there, and how many places an engine has on
-// average, 0 if there is none.
+// zones returns the zones in which engines of a pool are available, sorted by name and with their engine counts, and
+// the average number of slots of an engine, 0 if the pool has none.
 func (t *term) zones(pool catalog.Pool) (zones []policy.ZoneEngines, slots float64) {
 	now := time.Now()
 	regular := make(map[string]int)
@@ -222,7 +223,7 @@
 	for _, name := range slices.Sorted(maps.Keys(pool.Scaling.ZonePrices)) {
 		zones = append(zones, policy.ZoneEngines{
 			Zone: name, Regular: regular[name], Preemptible: t.ordered[pool.Name][name], Price: pool.Scaling.ZonePrices[name],
-			Refused: now.Before(t.refused[subject{pool.Name, name}]),
+			Refused: now.Before(t.refusedUntil[poolZone{pool.Name, name}]),
 		})
 	}
 	return zones, float64(total) / float64(max(1, len(engines)))
@@ -236,14 +237,15 @@
 	return own
 }
 
-// send writes orders down and sends them. It returns false at the end of the tenure. What is not taken in its window is ordered again
-// with the next look. What was refused is taken back in writing, so that no successor takes it for what stands there.
-func (t *term) send(ctx context.Context, due []Order) bool {
-	before := make(map[subject]int)
-	for _, order := range due {
-		about := subject{order.Pool, order.Zone}
-		before[about] = t.ordered[order.Pool][order.Zone]
-		t.set(about, order.Count)
+// send records orders and sends them. It returns false at the end of the tenure. An order that is not accepted within
+// its window is sent again by the next check. A refused order is removed from the record, so that no successor assumes
+// its engines to be there.
+func (t *term) send(ctx context.Context, pending []Order) bool {
+	previous := make(map[poolZone]int)
+	for _, order := range pending {
+		key := poolZone{order.Pool, order.Zone}
+		previous[key] = t.ordered[order.Pool][order.Zone]
+		t.setOrdered(key, order.Count)
 	}
 	window, ok := t.announce(ctx)
 	if !ok {
@@ -252,13 +254,13 @@
 	windowCtx, cancel := window.Context(ctx)
 	defer cancel()
 	refused := false
-	for _, order := range due {
-		about := subject{order.Pool, order.Zone}
-		outcome := t.order(windowCtx, order, before[about])
-		t.taken[about] = outcome == Taken
+	for _, order := range pending {
+		key := poolZone{order.Pool, order.Zone}
+		outcome := t.order(windowCtx, order, previous[key])
+		t.accepted[key] = outcome == Taken
 		if outcome == NoneLeft {
-			t.refused[about] = time.Now().Add(refusedFor)
-			t.set(about, before[about])
+			t.refusedUntil[key] = time.Now().Add(refusalBackoff)
+			t.setOrdered(key, previous[key])
 			refused = true
 		}
 	}
@@ -268,7 +270,7 @@
 	return ok
 }
 
-// announce writes down how many engines are ordered. It returns false at the end of the tenure.
+// announce records how many engines are ordered. It returns false at the end of the tenure.
 func (t *term) announce(ctx context.Context) (fencing.Window, bool) {
 	value, err := (&orders{Counts: t.ordered}).MarshalMsg(nil)
 	if err != nil {
@@ -279,15 +281,15 @@
 	return window, err == nil
 }
 
-func (t *term) set(about subject, count int) {
-	if t.ordered[about.pool] == nil {
-		t.ordered[about.pool] = make(map[string]int)
+func (t *term) setOrdered(key poolZone, count int) {
+	if t.ordered[key.pool] == nil {
+		t.ordered[key.pool] = make(map[string]int)
 	}
-	t.ordered[about.pool][about.zone] = count
+	t.ordered[key.pool][key.zone] = count
 }
 
 // order sends one order.
-func (t *term) order(ctx context.Context, order Order, before int) Outcome {
+func (t *term) order(ctx context.Context, order Order, previous int) Outcome {
 	if ctx.Err() != nil {
 		return Unknown
 	}
@@ -295,6 +297,6 @@
 	defer cancel()
 	outcome, err := t.config.Provider.OrderEngines(callCtx, t.tenure.Token(), order)
 	t.config.Logger.Info("engines ordered", "pool", order.Pool, "zone", order.Zone, "preemptible", order.Preemptible, "count", order.Count,
-		"before", before, "token", t.tenure.Token(), "outcome", outcome, "error", err)
+		"before", previous, "token", t.tenure.Token(), "outcome", outcome, "error", err)
 	return outcome
 }
