--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,8 +1,9 @@
-// Package placement maps shards and engines to nodes by rendezvous hashing over the members alive, nearest zone first.
-// The map is a hint: every node may hold another view for a while. Safety comes from the epochs in the log.
+// Package placement maps shards and engines to nodes by rendezvous hashing over the live members, preferring the
+// nearest zone. The result is a hint, since nodes may have different views of the members for a while. Correctness
+// depends on the epochs in the log.
 package placement
 
-// Member is a node as placement sees it.
+// Member is a node that can own keys.
 type Member struct {
 	Node        string
 	PeerAddress string
@@ -10,17 +11,17 @@
 	Region      string
 }
 
-// Preference names where an owner had best be; empty fields do not matter.
+// Preference is the preferred location of an owner; empty fields are ignored.
 type Preference struct {
 	Zone   string
 	Region string
 }
 
-// Placer tells which member ought to own a key.
+// Placer determines which member should own a key.
 type Placer interface {
 	// Owner returns the member placed for key; false when no member is alive.
 	Owner(key string, preference Preference) (Member, bool)
-	// Self is this node.
+	// Self returns the member of this node.
 	Self() Member
 	// Changed returns a channel that is closed when the members change.
 	Changed() <-chan struct{}
--- a/internal/placement/rendezvous.go
+++ b/internal/placement/rendezvous.go
@@ -9,15 +9,16 @@
 	"github.com/hillfork/hillfork/internal/membership"
 )
 
-// Source tells which members there are. *membership.Membership is one.
+// Source provides the current members. *membership.Membership is a Source.
 type Source interface {
 	Members() []membership.Member
 	Changed() <-chan struct{}
 }
 
-// Rendezvous is a Placer by highest-random-weight hashing. Members that are leaving or dead own nothing. Suspect members
-// keep what they own: most suspicions are refuted, and moving a shard there and back costs two claims and two replays,
-// while a call to a member that is really gone fails and is retried until the suspicion is settled seconds later.
+// Rendezvous is a Placer by highest-random-weight hashing. Members that are leaving or dead own nothing. Suspect
+// members keep their keys: most suspicions are refuted, and moving a shard away and back costs two claims and two
+// replays, while a call to a member that has really failed returns an error and is retried until the suspicion is
+// resolved seconds later.
 //
 // It is safe for concurrent use.
 type Rendezvous struct {
@@ -39,20 +40,20 @@
 	return r.current().choose(key, preference)
 }
 
-// Self is this node.
+// Self returns the member of this node.
 func (r *Rendezvous) Self() Member { return r.self }
 
 // Changed returns a channel that is closed when the members change.
 func (r *Rendezvous) Changed() <-chan struct{} { return r.source.Changed() }
 
-// current returns the index of the members as they are now, built anew only after a change.
+// current returns the index of the current members, rebuilt only after a change.
 func (r *Rendezvous) current() *index {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.index != nil && !broadcast.Closed(r.changed) {
 		return r.index
 	}
-	// The channel is taken before the members, so that a change in between leads to one more build, never to a stale index.
+	// The channel is read before the members, so that a change in between causes one more rebuild, never a stale index.
 	r.changed = r.source.Changed()
 	r.index = newIndex(placeable(r.source.Members()))
 	return r.index
@@ -75,9 +76,9 @@
 	return result
 }
 
-// Choose returns the member placed for key among members: the one of the highest weight in the preferred zone, or where
-// that has none in the preferred region, or else of all. It is a pure function and does not depend on the order of
-// members. The result is false when there are no members.
+// Choose returns the member of members placed for key: the one with the highest weight in the preferred zone, in the
+// preferred region if that zone has no members, or among all members if the region has none either. It is a pure
+// function and does not depend on the order of members. It returns false when there are no members.
 func Choose(members []Member, key string, preference Preference) (Member, bool) {
 	return newIndex(members).choose(key, preference)
 }
@@ -88,13 +89,13 @@
 	hash   uint64
 }
 
-// location is a zone of a region, or with an empty zone the whole region.
+// location is a zone of a region, a zone of any region if region is empty, or a whole region if zone is empty.
 type location struct {
 	zone   string
 	region string
 }
 
-// index groups members by where they are. It is immutable once built.
+// index groups members by location. It is immutable once built.
 type index struct {
 	all        []candidate
 	byLocation map[location][]candidate
@@ -108,33 +109,33 @@
 	for _, member := range members {
 		entry := candidate{member: member, hash: xxhash.Sum64String(member.Node)}
 		result.all = append(result.all, entry)
-		for _, place := range placesOf(member) {
-			result.byLocation[place] = append(result.byLocation[place], entry)
+		for _, loc := range locationsOf(member) {
+			result.byLocation[loc] = append(result.byLocation[loc], entry)
 		}
 	}
 	return result
 }
 
-// placesOf lists the locations under which a member can be preferred.
-func placesOf(member Member) []location {
-	places := make([]location, 0, 3)
+// locationsOf returns the locations that match a member.
+func locationsOf(member Member) []location {
+	locations := make([]location, 0, 3)
 	if member.Zone != "" {
-		places = append(places, location{zone: member.Zone})
+		locations = append(locations, location{zone: member.Zone})
 	}
 	if member.Region != "" {
-		places = append(places, location{region: member.Region})
+		locations = append(locations, location{region: member.Region})
 	}
 	if member.Zone != "" && member.Region != "" {
-		places = append(places, location{zone: member.Zone, region: member.Region})
+		locations = append(locations, location{zone: member.Zone, region: member.Region})
 	}
-	return places
+	return locations
 }
 
 func (i *index) choose(key string, preference Preference) (Member, bool) {
-	return heaviest(i.preferred(preference), key)
+	return highestWeight(i.preferred(preference), key)
 }
 
-// preferred returns the nearest group that has any member.
+// preferred returns the members at the preferred location, or at the next larger one that has any.
 func (i *index) preferred(preference Preference) []candidate {
 	if preference.Zone != "" {
 		near := i.byLocation[location{zone: preference.Zone, region: preference.Region}]
@@ -151,8 +152,8 @@
 	return i.all
 }
 
-// heaviest returns the candidate of the highest weight for key; equal weights are settled by name.
-func heaviest(candidates []candidate, key string) (Member, bool) {
+// highestWeight returns the candidate with the highest weight for key; among equal weights the first by name.
+func highestWeight(candidates []candidate, key string) (Member, bool) {
 	if len(candidates) == 0 {
 		return Member{}, false
 	}
--- a/internal/placement/rendezvous_test.go
+++ b/internal/placement/rendezvous_test.go
@@ -10,9 +10,9 @@
 	"github.com/hillfork/hillfork/internal/membership"
 )
 
-// drawMembers draws members of distinct names in a few zones.
-func drawMembers(t *rapid.T, least int) []Member {
-	count := rapid.IntRange(least, 40).Draw(t, "count")
+// drawMembers draws at least minCount members with distinct names in a few zones.
+func drawMembers(t *rapid.T, minCount int) []Member {
+	count := rapid.IntRange(minCount, 40).Draw(t, "count")
 	members := make([]Member, count)
 	for number := range members {
 		members[number] = Member{
@@ -36,7 +36,7 @@
 		members := drawMembers(t, 2)
 		preference := drawPreference(t)
 		lost := rapid.IntRange(0, len(members)-1).Draw(t, "lost")
-		rest := append(append([]Member{}, members[lost+1:]...), members[:lost]...) // in another order, too
+		rest := append(append([]Member{}, members[lost+1:]...), members[:lost]...) // order must not matter either
 		for number := range 50 {
 			key := fmt.Sprintf("key-%d", number)
 			before, _ := Choose(members, key, preference)
@@ -48,7 +48,7 @@
 	})
 }
 
-func TestPreferenceIsKeptWhereItCanBe(t *testing.T) {
+func TestPreferenceIsHonoredWherePossible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t, 1)
 		preference := drawPreference(t)
@@ -83,7 +83,7 @@
 	}
 	is.Equal(len(counts), nodes)
 	for _, count := range counts {
-		// Ten standard deviations of a binomial around the mean of 1000.
+		// Ten standard deviations of a binomial distribution around the mean of 1000.
 		is.True(count > 700 && count < 1300)
 	}
 }
@@ -96,7 +96,7 @@
 	return members
 }
 
-// fakeSource is a Source that tests change.
+// fakeSource is a Source whose members tests set.
 type fakeSource struct {
 	members []membership.Member
 	changed chan struct{}
