--- a/internal/replica/records.go
+++ b/internal/replica/records.go
@@ -221,7 +221,7 @@
 
 // weightApplier takes the announcements of orders.
 type weightApplier struct {
-	board  *weightroll.Board
+	board  *weightroll.OrderTable
 	logger *log.Logger
 }
 
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -108,7 +108,7 @@
 	r.metrics.unread(r.ingress.Unread().Stats)
 	r.queue = jobrun.NewQueue(r.directory)
 	r.shareViews()
-	board := weightroll.NewBoard(r.directory)
+	board := weightroll.NewOrderTable(r.directory)
 	indexFollower := r.follow(keyedlog.JobIndex, &indexApplier{index: r.index, logger: config.Logger})
 	r.indexFollower = indexFollower
 	r.followers = append(r.followers, indexFollower, operator, crashFollower)
@@ -127,9 +127,9 @@
 		Retention: config.Settings.Retention, Measures: r.metrics.measures(), Logger: config.Logger,
 	})
 	rollers := weightroll.NewHolder(weightroll.Config{
-		Log: config.Log, Followers: convert[weightroll.Follower](r.weights), Board: board, Catalog: r.catalog,
+		Log: config.Log, Followers: convert[weightroll.Follower](r.weights), OrderTable: board, Catalog: r.catalog,
 		Directory: r.directory, Client: config.Client, Loads: r.stepLoads, JobsKnown: indexFollower.CaughtUp, Paces: r.directory.UsualPaces,
-		Node: holderName(config.Settings), Lease: config.Settings.OrderLease, OnRolled: r.metrics.rolled, Logger: config.Logger,
+		Node: holderName(config.Settings), Lease: config.Settings.OrderLease, OnVersionServed: r.metrics.rolled, Logger: config.Logger,
 	})
 	r.joinGroups(runners, rollers, reporting)
 	return r
--- a/internal/weightroll/board.go
+++ b/internal/weightroll/board.go
@@ -23,9 +23,9 @@
 // defaultLoadTime is the assumed duration of a load before one was measured.
 const defaultLoadTime = time.Second
 
-// Board is the state built from the announcements in the store: what every engine was last ordered to load, and when
+// OrderTable is the state built from the announcements in the store: what every engine was last ordered to load, and when
 // this process read that. It is safe for concurrent use.
-type Board struct {
+type OrderTable struct {
 	directory *fleet.Directory
 
 	mutex   sync.Mutex
@@ -57,13 +57,13 @@
 // maxOwnerEpochs limits the entries of Board.epochStart.
 const maxOwnerEpochs = 16
 
-// NewBoard returns an empty board that updates a directory with the versions that engines load and serve.
-func NewBoard(directory *fleet.Directory) *Board {
-	return &Board{directory: directory, orders: make(map[string]receivedOrder), epochStart: make(map[ownerEpoch]time.Time), loadLimits: make(map[string]int)}
+// NewOrderTable returns an empty board that updates a directory with the versions that engines load and serve.
+func NewOrderTable(directory *fleet.Directory) *OrderTable {
+	return &OrderTable{directory: directory, orders: make(map[string]receivedOrder), epochStart: make(map[ownerEpoch]time.Time), loadLimits: make(map[string]int)}
 }
 
 // Apply applies a record. An error means that the record was skipped.
-func (b *Board) Apply(record keyedlog.Record) error {
+func (b *OrderTable) Apply(record keyedlog.Record) error {
 	if record.Key == keyedlog.OwnerKey {
 		return nil
 	}
@@ -110,7 +110,7 @@
 }
 
 // applyAssignment applies the record of a pool's assignment to the directory.
-func (b *Board) applyAssignment(value []byte) error {
+func (b *OrderTable) applyAssignment(value []byte) error {
 	var record AssignmentRecord
 	if _, err := record.UnmarshalMsg(value); err != nil {
 		b.mutex.Lock()
@@ -127,7 +127,7 @@
 const loadingSlackFactor = 1.3
 
 // expectedLoadTime returns how long an engine is assumed to load after an announcement. The caller must hold the mutex.
-func (b *Board) expectedLoadTime() time.Duration {
+func (b *OrderTable) expectedLoadTime() time.Duration {
 	if b.typicalLoad == 0 {
 		return defaultLoadTime
 	}
@@ -136,7 +136,7 @@
 
 // observeServing updates the typical load time when an engine serves what it was ordered to load. last is the engine's
 // last announcement, if known is set. The caller must hold the mutex.
-func (b *Board) observeServing(last receivedOrder, known bool, serving Announcement, now time.Time) {
+func (b *OrderTable) observeServing(last receivedOrder, known bool, serving Announcement, now time.Time) {
 	if known && (last.Serving || last.Version != serving.Version || last.Model != serving.Model) {
 		return
 	}
@@ -168,7 +168,7 @@
 // observeEpochStart derives from a record when its owner's epoch began. A record is read after it was written, so the
 // epoch had begun by the time of reading minus the time on the owner's clock. A clock that was stopped during a
 // suspension only makes the result later. The caller must hold the mutex.
-func (b *Board) observeEpochStart(order Announcement, now time.Time) {
+func (b *OrderTable) observeEpochStart(order Announcement, now time.Time) {
 	if order.Written <= 0 {
 		return
 	}
@@ -186,7 +186,7 @@
 // announcedBefore returns a time by which an order had been announced. A process that has only just read an order
 // derives its minimum age from the newest record of the same owner, and knows that the order is older than the epoch of
 // the next owner. The caller must hold the mutex.
-func (b *Board) announcedBefore(order receivedOrder) time.Time {
+func (b *OrderTable) announcedBefore(order receivedOrder) time.Time {
 	earliest := order.receivedAt
 	for owner, epochStart := range b.epochStart {
 		switch {
@@ -205,7 +205,7 @@
 }
 
 // lastOrder returns the newest announcement for an engine.
-func (b *Board) lastOrder(engineID string) (receivedOrder, bool) {
+func (b *OrderTable) lastOrder(engineID string) (receivedOrder, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	order, ok := b.orders[engineID]
@@ -215,7 +215,7 @@
 
 // loadLimit returns the number of a pool's engines that may load concurrently according to its newest announcement, 0
 // if none has it.
-func (b *Board) loadLimit(pool string) int {
+func (b *OrderTable) loadLimit(pool string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.loadLimits[pool]
@@ -223,7 +223,7 @@
 
 // departed returns the engines of announcements that are no longer in the directory and whose last order was read
 // before the given time.
-func (b *Board) departed(partition keyedlog.Partition, partitions int, before time.Time) []string {
+func (b *OrderTable) departed(partition keyedlog.Partition, partitions int, before time.Time) []string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	var ids []string
--- a/internal/weightroll/roller.go
+++ b/internal/weightroll/roller.go
@@ -49,12 +49,12 @@
 
 // Config configures the rollers of a process.
 type Config struct {
-	Log       keyedlog.Log
-	Followers []Follower
-	Board     *Board
-	Catalog   *catalog.Holder
-	Directory *fleet.Directory
-	Client    engineapi.Client
+	Log        keyedlog.Log
+	Followers  []Follower
+	OrderTable *OrderTable
+	Catalog    *catalog.Holder
+	Directory  *fleet.Directory
+	Client     engineapi.Client
 	// Loads returns the load that the steps of each model put on engines, nil if none is known. JobsKnown reports
 	// whether the list of jobs was read, so that the result of Loads is usable; nil means always.
 	Loads     func() map[string]policy.StepLoad
@@ -66,9 +66,9 @@
 	Node string
 	// Lease is the minimum time between the orders of two holders.
 	Lease time.Duration
-	// OnRolled is called with the time from when this process learned of a version until an engine serves it.
-	OnRolled func(time.Duration)
-	Logger   *log.Logger
+	// OnVersionServed is called with the time from when this process learned of a version until an engine serves it.
+	OnVersionServed func(time.Duration)
+	Logger          *log.Logger
 }
 
 // Holder starts the roller of a partition; it implements ownership.Holder for weight partitions.
@@ -229,7 +229,7 @@
 		loadLimit = new(concurrency)
 		r.loadLimit[pool.Name] = loadLimit
 	}
-	loadLimit.setInitial(len(engines), r.config.Board.loadLimit(pool.Name))
+	loadLimit.setInitial(len(engines), r.config.OrderTable.loadLimit(pool.Name))
 	steps, waiting := Plan(PlanInput{
 		Engines: ready, Targets: targets, Assignment: assignment, Loading: loading, MaxLoads: loadLimit.limit(),
 	})
@@ -272,7 +272,7 @@
 // which another holder may have announced one to it. Orders of an earlier process on this machine are this holder's
 // own.
 func (r *roller) allowedAt(engineID string) time.Time {
-	lastOrder, ordered := r.config.Board.lastOrder(engineID)
+	lastOrder, ordered := r.config.OrderTable.lastOrder(engineID)
 	if !ordered || lastOrder.Epoch == r.writer.Epoch() || lastOrder.Holder == r.config.Node {
 		return time.Time{}
 	}
@@ -294,8 +294,8 @@
 	r.mutex.Unlock()
 	r.config.Logger.Info("load ended", "engine", step.Engine.ID, "model", step.Model, "version", step.Version,
 		"epoch", r.writer.Epoch(), "served", served, "error", err, "took", time.Since(started).Round(time.Millisecond), "load", load.Round(time.Millisecond))
-	if served && target.version == step.Version && r.config.OnRolled != nil {
-		r.config.OnRolled(time.Since(target.learnedAt))
+	if served && target.version == step.Version && r.config.OnVersionServed != nil {
+		r.config.OnVersionServed(time.Since(target.learnedAt))
 	}
 	select {
 	case r.wake <- struct{}{}:
@@ -320,7 +320,7 @@
 func (r *roller) removeDeparted(ctx context.Context) {
 	before := time.Now().Add(-departedRetention * r.config.Lease)
 	var records []keyedlog.Record
-	for _, id := range r.config.Board.departed(r.partition, r.config.Log.Partitions(keyedlog.TopicWeights), before) {
+	for _, id := range r.config.OrderTable.departed(r.partition, r.config.Log.Partitions(keyedlog.TopicWeights), before) {
 		records = append(records, keyedlog.Record{Key: id})
 	}
 	if len(records) > 0 {
--- a/internal/weightroll/roller_test.go
+++ b/internal/weightroll/roller_test.go
@@ -73,7 +73,7 @@
 	cancel  context.CancelFunc
 }
 
-type boardApplier struct{ board *Board }
+type boardApplier struct{ board *OrderTable }
 
 func (a boardApplier) Apply(record keyedlog.Record, _ bool) { _ = a.board.Apply(record) }
 func (a boardApplier) Advanced(int64)                       {}
@@ -84,7 +84,7 @@
 		directory.Upsert(engine)
 	}
 	logger := log.New(io.Discard)
-	board := NewBoard(directory)
+	board := NewOrderTable(directory)
 	bounded := storetimeout.New(env.store.For(name))
 	var followers []Follower
 	for number := range 2 {
@@ -98,7 +98,7 @@
 	n := &node{testEnv: env, name: name, catalog: catalog.NewHolder()}
 	n.catalog.Set(catalog.New(1, nil, map[string]catalog.Pool{poolName: {Name: poolName, Models: []string{model}}}, catalog.Limits{}))
 	n.holder = NewHolder(Config{
-		Log: bounded, Followers: followers, Board: board, Catalog: n.catalog, Directory: directory, Client: env.engines,
+		Log: bounded, Followers: followers, OrderTable: board, Catalog: n.catalog, Directory: directory, Client: env.engines,
 		Node: name, Lease: lease, Logger: logger,
 	})
 	return n
@@ -334,7 +334,7 @@
 // owner's engines, and restarts on its machine. Orders of the first owner are older than all records of the second.
 func TestOrdersOfEarlierEpochsPredateTheNextOwner(t *testing.T) {
 	is := is.New(t)
-	board := NewBoard(fleet.NewDirectory())
+	board := NewOrderTable(fleet.NewDirectory())
 	now := time.Now()
 	read := func(order Announcement) {
 		board.mutex.Lock()
@@ -485,7 +485,7 @@
 // TestUndecodableRecordIsSkipped applies a record that is not an announcement.
 func TestUndecodableRecordIsSkipped(t *testing.T) {
 	is := is.New(t)
-	board := NewBoard(fleet.NewDirectory())
+	board := NewOrderTable(fleet.NewDirectory())
 	is.True(board.Apply(keyedlog.Record{Key: "e", Value: []byte{0xc1}}) != nil)
 	_, known := board.lastOrder("e")
 	is.True(!known)
@@ -499,12 +499,12 @@
 	}
 	f.Add(valid)
 	f.Fuzz(func(_ *testing.T, value []byte) {
-		_ = NewBoard(fleet.NewDirectory()).Apply(keyedlog.Record{Key: "e", Value: value})
+		_ = NewOrderTable(fleet.NewDirectory()).Apply(keyedlog.Record{Key: "e", Value: value})
 	})
 }
 
 // applyAnnouncement applies an announcement to a board.
-func applyAnnouncement(t *testing.T, board *Board, announcement Announcement) {
+func applyAnnouncement(t *testing.T, board *OrderTable, announcement Announcement) {
 	t.Helper()
 	is := is.New(t)
 	value, err := announcement.MarshalMsg(nil)
@@ -519,7 +519,7 @@
 		is := is.New(t)
 		directory := fleet.NewDirectory()
 		directory.Upsert(fleet.Engine{ID: "e", Pool: poolName})
-		board := NewBoard(directory)
+		board := NewOrderTable(directory)
 		announce := func(version int64, serving bool) {
 			applyAnnouncement(t, board, Announcement{EngineID: "e", Model: model, Version: version, Serving: serving})
 		}
@@ -546,7 +546,7 @@
 		is := is.New(t)
 		const engines, loadDuration = 100, 1100 * time.Millisecond
 		directory := fleet.NewDirectory()
-		board := NewBoard(directory)
+		board := NewOrderTable(directory)
 		read := func(id int, written, ordered time.Duration, version int64, serving bool) {
 			name := fmt.Sprint("engine", id)
 			directory.Upsert(fleet.Engine{ID: name, Pool: poolName})
@@ -587,7 +587,7 @@
 		const loadDuration = 2 * defaultLoadTime
 		directory := fleet.NewDirectory()
 		directory.Upsert(fleet.Engine{ID: "e", Pool: poolName})
-		board := NewBoard(directory)
+		board := NewOrderTable(directory)
 		read := func(id string, written, ordered time.Duration, serving bool) {
 			applyAnnouncement(t, board, Announcement{
 				EngineID: id, Pool: poolName, Model: model, Version: 3, Epoch: 1, Serving: serving, Written: written, Ordered: ordered,
