--- a/internal/weightroll/board.go
+++ b/internal/weightroll/board.go
@@ -54,71 +54,71 @@
 	epoch int64
 }
 
-// maxOwnerEpochs limits the entries of Board.epochStart.
+// maxOwnerEpochs limits the entries of OrderTable.epochStart.
 const maxOwnerEpochs = 16
 
-// NewOrderTable returns an empty board that updates a directory with the versions that engines load and serve.
+// NewOrderTable returns an empty table that updates a directory with the versions that engines load and serve.
 func NewOrderTable(directory *fleet.Directory) *OrderTable {
 	return &OrderTable{directory: directory, orders: make(map[string]receivedOrder), epochStart: make(map[ownerEpoch]time.Time), loadLimits: make(map[string]int)}
 }
 
 // Apply applies a record. An error means that the record was skipped.
-func (b *OrderTable) Apply(record keyedlog.Record) error {
+func (t *OrderTable) Apply(record keyedlog.Record) error {
 	if record.Key == keyedlog.OwnerKey {
 		return nil
 	}
 	now := time.Now()
 	if record.Value == nil {
-		b.mutex.Lock()
-		defer b.mutex.Unlock()
-		delete(b.orders, record.Key)
+		t.mutex.Lock()
+		defer t.mutex.Unlock()
+		delete(t.orders, record.Key)
 		return nil
 	}
 	if strings.HasPrefix(record.Key, assignmentKeyPrefix) {
-		return b.applyAssignment(record.Value)
+		return t.applyAssignment(record.Value)
 	}
 	var order Announcement
 	if _, err := order.UnmarshalMsg(record.Value); err != nil {
-		b.mutex.Lock()
-		defer b.mutex.Unlock()
-		b.skipped++
+		t.mutex.Lock()
+		defer t.mutex.Unlock()
+		t.skipped++
 		return err
 	}
-	b.mutex.Lock()
-	b.observeEpochStart(order, now)
+	t.mutex.Lock()
+	t.observeEpochStart(order, now)
 	received := receivedOrder{Announcement: order, receivedAt: now}
 	if order.Serving {
 		// An announcement that the engine serves the version is not a new order.
-		last, known := b.orders[order.EngineID]
+		last, known := t.orders[order.EngineID]
 		if known {
 			received.receivedAt = last.receivedAt
 		}
-		b.observeServing(last, known, order, now)
+		t.observeServing(last, known, order, now)
 	}
-	b.orders[order.EngineID] = received
+	t.orders[order.EngineID] = received
 	if order.Together > 0 {
-		b.loadLimits[order.Pool] = order.Together
+		t.loadLimits[order.Pool] = order.Together
 	}
-	until := b.announcedBefore(received).Add(b.expectedLoadTime())
-	b.mutex.Unlock()
+	until := t.announcedBefore(received).Add(t.expectedLoadTime())
+	t.mutex.Unlock()
 	if order.Serving {
-		b.directory.SetServes(order.EngineID, order.Model, order.Version)
+		t.directory.SetServes(order.EngineID, order.Model, order.Version)
 	} else {
-		b.directory.SetLoading(order.EngineID, order.Model, until)
+		t.directory.SetLoading(order.EngineID, order.Model, until)
 	}
 	return nil
 }
 
 // applyAssignment applies the record of a pool's assignment to the directory.
-func (b *OrderTable) applyAssignment(value []byte) error {
+func (t *OrderTable) applyAssignment(value []byte) error {
 	var record AssignmentRecord
 	if _, err := record.UnmarshalMsg(value); err != nil {
-		b.mutex.Lock()
-		defer b.mutex.Unlock()
-		b.skipped++
+		t.mutex.Lock()
+		defer t.mutex.Unlock()
+		t.skipped++
 		return err
 	}
-	b.directory.SetDealt(record.Pool, record.assignment())
+	t.directory.SetDealt(record.Pool, record.assignment())
 	return nil
 }
 
@@ -127,26 +127,26 @@
 const loadingSlackFactor = 1.3
 
 // expectedLoadTime returns how long an engine is assumed to load after an announcement. The caller must hold the mutex.
-func (b *OrderTable) expectedLoadTime() time.Duration {
-	if b.typicalLoad == 0 {
+func (t *OrderTable) expectedLoadTime() time.Duration {
+	if t.typicalLoad == 0 {
 		return defaultLoadTime
 	}
-	return time.Duration(loadingSlackFactor * float64(b.typicalLoad))
+	return time.Duration(loadingSlackFactor * float64(t.typicalLoad))
 }
 
 // observeServing updates the typical load time when an engine serves what it was ordered to load. last is the engine's
 // last announcement, if known is set. The caller must hold the mutex.
-func (b *OrderTable) observeServing(last receivedOrder, known bool, serving Announcement, now time.Time) {
+func (t *OrderTable) observeServing(last receivedOrder, known bool, serving Announcement, now time.Time) {
 	if known && (last.Serving || last.Version != serving.Version || last.Model != serving.Model) {
 		return
 	}
 	elapsed := loadDuration(last, known, serving, now)
 	switch {
 	case elapsed <= 0:
-	case b.typicalLoad == 0:
-		b.typicalLoad = elapsed
+	case t.typicalLoad == 0:
+		t.typicalLoad = elapsed
 	default:
-		b.typicalLoad = smoothed(b.typicalLoad, min(elapsed, overdueFactor*b.typicalLoad))
+		t.typicalLoad = smoothed(t.typicalLoad, min(elapsed, overdueFactor*t.typicalLoad))
 	}
 }
 
@@ -168,27 +168,27 @@
 // observeEpochStart derives from a record when its owner's epoch began. A record is read after it was written, so the
 // epoch had begun by the time of reading minus the time on the owner's clock. A clock that was stopped during a
 // suspension only makes the result later. The caller must hold the mutex.
-func (b *OrderTable) observeEpochStart(order Announcement, now time.Time) {
+func (t *OrderTable) observeEpochStart(order Announcement, now time.Time) {
 	if order.Written <= 0 {
 		return
 	}
 	owner := ownerEpoch{order.Pool, order.Epoch}
 	epochStart := now.Add(-order.Written)
-	if known, ok := b.epochStart[owner]; ok && !epochStart.Before(known) {
+	if known, ok := t.epochStart[owner]; ok && !epochStart.Before(known) {
 		return
 	}
-	b.epochStart[owner] = epochStart
-	if len(b.epochStart) > maxOwnerEpochs {
-		delete(b.epochStart, slices.MinFunc(slices.Collect(maps.Keys(b.epochStart)), func(a, b ownerEpoch) int { return cmp.Compare(a.epoch, b.epoch) }))
+	t.epochStart[owner] = epochStart
+	if len(t.epochStart) > maxOwnerEpochs {
+		delete(t.epochStart, slices.MinFunc(slices.Collect(maps.Keys(t.epochStart)), func(a, b ownerEpoch) int { return cmp.Compare(a.epoch, b.epoch) }))
 	}
 }
 
 // announcedBefore returns a time by which an order had been announced. A process that has only just read an order
 // derives its minimum age from the newest record of the same owner, and knows that the order is older than the epoch of
 // the next owner. The caller must hold the mutex.
-func (b *OrderTable) announcedBefore(order receivedOrder) time.Time {
+func (t *OrderTable) announcedBefore(order receivedOrder) time.Time {
 	earliest := order.receivedAt
-	for owner, epochStart := range b.epochStart {
+	for owner, epochStart := range t.epochStart {
 		switch {
 		case owner.pool != order.Pool || owner.epoch < order.Epoch:
 			continue
@@ -205,30 +205,30 @@
 }
 
 // lastOrder returns the newest announcement for an engine.
-func (b *OrderTable) lastOrder(engineID string) (receivedOrder, bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	order, ok := b.orders[engineID]
-	order.announcedBefore = b.announcedBefore(order)
+func (t *OrderTable) lastOrder(engineID string) (receivedOrder, bool) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	order, ok := t.orders[engineID]
+	order.announcedBefore = t.announcedBefore(order)
 	return order, ok
 }
 
 // loadLimit returns the number of a pool's engines that may load concurrently according to its newest announcement, 0
 // if none has it.
-func (b *OrderTable) loadLimit(pool string) int {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.loadLimits[pool]
+func (t *OrderTable) loadLimit(pool string) int {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.loadLimits[pool]
 }
 
 // departed returns the engines of announcements that are no longer in the directory and whose last order was read
 // before the given time.
-func (b *OrderTable) departed(partition keyedlog.Partition, partitions int, before time.Time) []string {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+func (t *OrderTable) departed(partition keyedlog.Partition, partitions int, before time.Time) []string {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	var ids []string
-	for id, order := range b.orders {
-		_, exists := b.directory.Engine(id)
+	for id, order := range t.orders {
+		_, exists := t.directory.Engine(id)
 		if !exists && order.receivedAt.Before(before) && PartitionOf(order.Pool, partitions) == partition {
 			ids = append(ids, id)
 		}
--- a/internal/weightroll/plan.go
+++ b/internal/weightroll/plan.go
@@ -16,7 +16,7 @@
 	Version int64
 }
 
-// Assignment maps engine ids to the model that the engine is kept up to date for.
+// Assignment maps engine ids to the model that the engine is assigned to.
 type Assignment map[string]string
 
 // Assign assigns the engines of a pool to its models, to each as many as shares says, and leaves the others unassigned:
--- a/internal/weightroll/records.go
+++ b/internal/weightroll/records.go
@@ -32,7 +32,7 @@
 	Together int `msg:"together"`
 }
 
-// AssignmentRecord is the record of the model that each engine of a pool is kept up to date for.
+// AssignmentRecord is the record of the model that each engine of a pool is assigned to.
 type AssignmentRecord struct {
 	Pool string `msg:"pool"`
 	// Models lists each model once; Engines maps engine ids to indexes into Models.
--- a/internal/weightroll/roller_test.go
+++ b/internal/weightroll/roller_test.go
@@ -73,10 +73,10 @@
 	cancel  context.CancelFunc
 }
 
-type boardApplier struct{ board *OrderTable }
+type orderTableApplier struct{ orderTable *OrderTable }
 
-func (a boardApplier) Apply(record keyedlog.Record, _ bool) { _ = a.board.Apply(record) }
-func (a boardApplier) Advanced(int64)                       {}
+func (a orderTableApplier) Apply(record keyedlog.Record, _ bool) { _ = a.orderTable.Apply(record) }
+func (a orderTableApplier) Advanced(int64)                       {}
 
 func (env *testEnv) node(name string) *node {
 	directory := fleet.NewDirectory()
@@ -84,13 +84,13 @@
 		directory.Upsert(engine)
 	}
 	logger := log.New(io.Discard)
-	board := NewOrderTable(directory)
+	orderTable := NewOrderTable(directory)
 	bounded := storetimeout.New(env.store.For(name))
 	var followers []Follower
 	for number := range 2 {
 		follower := follow.New(follow.Config{
 			Log: bounded, Partition: keyedlog.Partition{Topic: keyedlog.TopicWeights, Number: number},
-			Applier: boardApplier{board}, Wait: time.Second, Logger: logger,
+			Applier: orderTableApplier{orderTable}, Wait: time.Second, Logger: logger,
 		})
 		followers = append(followers, follower)
 		env.running.Go(func() { follower.Run(env.ctx) })
@@ -98,7 +98,7 @@
 	n := &node{testEnv: env, name: name, catalog: catalog.NewHolder()}
 	n.catalog.Set(catalog.New(1, nil, map[string]catalog.Pool{poolName: {Name: poolName, Models: []string{model}}}, catalog.Limits{}))
 	n.holder = NewHolder(Config{
-		Log: bounded, Followers: followers, OrderTable: board, Catalog: n.catalog, Directory: directory, Client: env.engines,
+		Log: bounded, Followers: followers, OrderTable: orderTable, Catalog: n.catalog, Directory: directory, Client: env.engines,
 		Node: name, Lease: lease, Logger: logger,
 	})
 	return n
@@ -334,13 +334,13 @@
 // owner's engines, and restarts on its machine. Orders of the first owner are older than all records of the second.
 func TestOrdersOfEarlierEpochsPredateTheNextOwner(t *testing.T) {
 	is := is.New(t)
-	board := NewOrderTable(fleet.NewDirectory())
+	orderTable := NewOrderTable(fleet.NewDirectory())
 	now := time.Now()
 	read := func(order Announcement) {
-		board.mutex.Lock()
-		defer board.mutex.Unlock()
-		board.observeEpochStart(order, now)
-		board.orders[order.EngineID] = receivedOrder{Announcement: order, receivedAt: now}
+		orderTable.mutex.Lock()
+		defer orderTable.mutex.Unlock()
+		orderTable.observeEpochStart(order, now)
+		orderTable.orders[order.EngineID] = receivedOrder{Announcement: order, receivedAt: now}
 	}
 	read(Announcement{EngineID: "old", Pool: "pool", Epoch: 4, Written: 9 * time.Second, Ordered: 9 * time.Second})
 	read(Announcement{EngineID: "new", Pool: "pool", Epoch: 5, Written: 6 * time.Second, Ordered: 5 * time.Second})
@@ -351,7 +351,7 @@
 
 	ages := make(map[string]time.Duration)
 	for _, id := range []string{"old", "new", "other", "mute"} {
-		order, known := board.lastOrder(id)
+		order, known := orderTable.lastOrder(id)
 		is.True(known)
 		ages[id] = now.Sub(order.announcedBefore)
 	}
@@ -485,11 +485,11 @@
 // TestUndecodableRecordIsSkipped applies a record that is not an announcement.
 func TestUndecodableRecordIsSkipped(t *testing.T) {
 	is := is.New(t)
-	board := NewOrderTable(fleet.NewDirectory())
-	is.True(board.Apply(keyedlog.Record{Key: "e", Value: []byte{0xc1}}) != nil)
-	_, known := board.lastOrder("e")
+	orderTable := NewOrderTable(fleet.NewDirectory())
+	is.True(orderTable.Apply(keyedlog.Record{Key: "e", Value: []byte{0xc1}}) != nil)
+	_, known := orderTable.lastOrder("e")
 	is.True(!known)
-	is.NoErr(board.Apply(keyedlog.Record{Key: "e"}))
+	is.NoErr(orderTable.Apply(keyedlog.Record{Key: "e"}))
 }
 
 func FuzzBoard(f *testing.F) {
@@ -503,25 +503,25 @@
 	})
 }
 
-// applyAnnouncement applies an announcement to a board.
-func applyAnnouncement(t *testing.T, board *OrderTable, announcement Announcement) {
+// applyAnnouncement applies an announcement to an order table.
+func applyAnnouncement(t *testing.T, orderTable *OrderTable, announcement Announcement) {
 	t.Helper()
 	is := is.New(t)
 	value, err := announcement.MarshalMsg(nil)
 	is.NoErr(err)
-	is.NoErr(board.Apply(keyedlog.Record{Key: announcement.EngineID, Value: value}))
+	is.NoErr(orderTable.Apply(keyedlog.Record{Key: announcement.EngineID, Value: value}))
 }
 
-// TestEnginesAreExcludedWhileTheyLoad checks that a board learns the load time, offers an engine no work for that time,
-// and excludes it not much longer if no announcement says that it serves.
+// TestEnginesAreExcludedWhileTheyLoad checks that an order table learns the load time, excludes an engine from work for
+// that time, and not for much longer if no announcement says that it serves.
 func TestEnginesAreExcludedWhileTheyLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := fleet.NewDirectory()
 		directory.Upsert(fleet.Engine{ID: "e", Pool: poolName})
-		board := NewOrderTable(directory)
+		orderTable := NewOrderTable(directory)
 		announce := func(version int64, serving bool) {
-			applyAnnouncement(t, board, Announcement{EngineID: "e", Model: model, Version: version, Serving: serving})
+			applyAnnouncement(t, orderTable, Announcement{EngineID: "e", Model: model, Version: version, Serving: serving})
 		}
 		const slow = 2 * time.Second
 		for version := range int64(10) {
@@ -546,11 +546,11 @@
 		is := is.New(t)
 		const engines, loadDuration = 100, 1100 * time.Millisecond
 		directory := fleet.NewDirectory()
-		board := NewOrderTable(directory)
+		orderTable := NewOrderTable(directory)
 		read := func(id int, written, ordered time.Duration, version int64, serving bool) {
 			name := fmt.Sprint("engine", id)
 			directory.Upsert(fleet.Engine{ID: name, Pool: poolName})
-			applyAnnouncement(t, board, Announcement{
+			applyAnnouncement(t, orderTable, Announcement{
 				EngineID: name, Pool: poolName, Model: model, Version: version, Epoch: 1, Serving: serving, Written: written, Ordered: ordered,
 			})
 		}
@@ -587,9 +587,9 @@
 		const loadDuration = 2 * defaultLoadTime
 		directory := fleet.NewDirectory()
 		directory.Upsert(fleet.Engine{ID: "e", Pool: poolName})
-		board := NewOrderTable(directory)
+		orderTable := NewOrderTable(directory)
 		read := func(id string, written, ordered time.Duration, serving bool) {
-			applyAnnouncement(t, board, Announcement{
+			applyAnnouncement(t, orderTable, Announcement{
 				EngineID: id, Pool: poolName, Model: model, Version: 3, Epoch: 1, Serving: serving, Written: written, Ordered: ordered,
 			})
 		}
