--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -47,7 +47,7 @@
 
 // Outcomes of orders.
 const (
-	// Unknown means that the order got no answer, or was not processed.
+	// Unknown means that the order got no response, or was not processed.
 	Unknown Outcome = iota
 	// Taken means that the zone is to have as many engines as ordered.
 	Taken
--- a/internal/scaler/scaler_test.go
+++ b/internal/scaler/scaler_test.go
@@ -166,7 +166,7 @@
 }
 
 // TestLostEnginesAreReplaced removes regular engines while two zones have no more. The third zone has to supply the
-// replacements, and the other two are asked again only some seconds later.
+// replacements, and orders to the other two are retried only some seconds later.
 func TestLostEnginesAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/weightroll/order.go
+++ b/internal/weightroll/order.go
@@ -101,7 +101,7 @@
 }
 
 // awaitLoad polls the engine until it serves the version, and reports whether it does. It stops waiting early for an
-// order that got no answer if the engine shows no sign of loading.
+// order that got no response if the engine shows no sign of loading.
 func (r *roller) awaitLoad(ctx context.Context, step Step, accepted bool) bool {
 	r.mutex.Lock()
 	typicalLoad, shortestLoad := r.typicalLoad, r.shortestLoad
--- a/internal/weightroll/records.go
+++ b/internal/weightroll/records.go
@@ -3,7 +3,7 @@
 // before it is sent, fenced by the owner's epoch, and is sent only within a short window after that. A successor, whose
 // epoch prevents further announcements of its predecessor, waits until a whole lease has passed since the last order
 // that may have been sent. So no engine receives orders of two holders within one lease, regardless of clock
-// differences, pauses and lost answers. A holder is a machine: a process that restarts on the machine of its
+// differences, pauses and lost responses. A holder is a machine: a process that restarts on the machine of its
 // predecessor continues at once, since the earlier process has ended and all its connections are closed.
 package weightroll
 
--- a/internal/weightroll/roller.go
+++ b/internal/weightroll/roller.go
@@ -20,7 +20,7 @@
 const (
 	// writerName identifies the sequence of owner epochs in a partition.
 	writerName = "orders"
-	// orderTimeout limits the wait for the answer to an order, reportTimeout that for a report.
+	// orderTimeout limits the wait for the response to an order, reportTimeout that for a report.
 	orderTimeout  = 700 * time.Millisecond
 	reportTimeout = 500 * time.Millisecond
 	// pollInterval is how often a loading engine is polled for completion.
--- a/internal/weightroll/roller_test.go
+++ b/internal/weightroll/roller_test.go
@@ -239,7 +239,7 @@
 	}
 }
 
-// TestDelayedOrdersDoNotRevertVersions checks that orders that got no answer and are executed seconds later do not
+// TestDelayedOrdersDoNotRevertVersions checks that orders that got no response and are executed seconds later do not
 // bring an engine back to an older version.
 func TestDelayedOrdersDoNotRevertVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -725,7 +725,7 @@
 }
 
 // TestSequenceIsResetWhenAnEngineRestarts checks that the order count of an earlier incarnation is not used. A
-// restarted engine counts its orders from zero, so it would refuse an order that expects the earlier count.
+// restarted engine counts its orders from zero, so it would reject an order that expects the earlier count.
 func TestSequenceIsResetWhenAnEngineRestarts(t *testing.T) {
 	is := is.New(t)
 	r := &roller{sequences: make(map[string]sequence)}
