--- a/internal/replica/records.go
+++ b/internal/replica/records.go
@@ -223,7 +223,7 @@
 
 // weightApplier applies the announcements of orders.
 type weightApplier struct {
-	board  *weightroll.Board
+	board  *weightroll.OrderTable
 	logger *log.Logger
 }
 
