--- a/internal/jobrun/critical.go
+++ b/internal/jobrun/critical.go
@@ -7,18 +7,19 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// criticalEvents is how many events are expected to be left of the items that a job waits for. The zero value stands for not known. It is
-// safe for concurrent use.
+// criticalEvents is the expected number of events until the job is complete, as estimated by policy.CriticalEvents. The zero
+// value means that it is not known. It is safe for concurrent use.
 type criticalEvents struct {
 	bits atomic.Uint64
 }
 
-// Value returns the events, 0 if nothing is known of the job's items.
+// Value returns the number of events, or 0 if nothing is known about the job's items.
 func (c *criticalEvents) Value() float64 {
 	return math.Float64frombits(c.bits.Load())
 }
 
-// update sets the events by what is left of the job's items. Items without an execution are listed, and have none left.
+// update recomputes the number from the expected remaining events of the job's items. Items without an execution are already
+// listed and count as 0.
 func (c *criticalEvents) update(running *runningJob) {
 	longest := make(map[string]float64)
 	for _, item := range running.spec.Items {
--- a/internal/jobrun/decline_test.go
+++ b/internal/jobrun/decline_test.go
@@ -13,45 +13,47 @@
 	"github.com/matryer/is"
 )
 
-// hinted returns a job of so many items of so many events each, as many as their hint says.
-func hinted(id string, items, events int) job.Spec {
-	hinted := spec(id, items)
-	for i := range hinted.Items {
-		hinted.Items[i].LengthHint = events
-		hinted.Items[i].Header = map[string]string{"Model": modelName, memoryengine.EventsHeader: strconv.Itoa(events)}
+// hintedSpec returns a job with the given number of items, each of which produces the given number of events and has that as
+// its length hint.
+func hintedSpec(id string, items, events int) job.Spec {
+	spec := spec(id, items)
+	for i := range spec.Items {
+		spec.Items[i].LengthHint = events
+		spec.Items[i].Header = map[string]string{"Model": modelName, memoryengine.EventsHeader: strconv.Itoa(events)}
 	}
-	return hinted
+	return spec
 }
 
-// TestNoItemWaitsLongBesideFreeEngines has one quick engine, full of long items for 7 s, and two slow ones that are free. One item more comes,
-// and an item gives its place up to it. That one declined the slow engines for as long as they would delay it, and stood at no
-// engine for 6 s; callers allow 5 s where engines are free. It begins on a slow engine in time, and may move on to the quick one when
-// that has room.
-func TestNoItemWaitsLongBesideFreeEngines(t *testing.T) {
+// TestItemStartsOnSlowEngineWhenFastIsFull checks that an item does not wait for long while engines are free. One fast engine
+// is full of long items for 7 s, and two slow engines are free. When one more item is submitted, a running item yields its slot
+// to it. The yielding item used to decline the slow engines for as long as they would delay it, and ran on no engine for 6 s;
+// callers accept 5 s while engines are free. It must start on a slow engine in time, and may move to the fast one once that has
+// a free slot.
+func TestItemStartsOnSlowEngineWhenFastIsFull(t *testing.T) {
 	const (
-		events     = 240
-		allowed    = 4 * time.Second
-		quickSlots = 4
-		stepTime   = 9 * time.Second
-		look       = 50 * time.Millisecond
+		events       = 240
+		maxWaiting   = 4 * time.Second
+		fastSlots    = 4
+		stepTime     = 9 * time.Second
+		pollInterval = 50 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 0)
 		for i, factor := range []time.Duration{1, 6, 6} {
-			engine := fleet.Engine{ID: fmt.Sprint("model", i), Pool: "models", Slots: quickSlots, Versions: map[string]int64{modelName: 2}}
+			engine := fleet.Engine{ID: fmt.Sprint("model", i), Pool: "models", Slots: fastSlots, Versions: map[string]int64{modelName: 2}}
 			w.models = append(w.models, engine)
 			w.engines.Add(engine, memoryengine.Behaviour{Pace: factor * pace})
 		}
-		owner := w.node("owner")
+		owner := w.newNode("owner")
 		owner.own(1)
 		time.Sleep(time.Second)
-		w.submit(hinted("warm", 3*quickSlots, eventCount))
+		w.submit(hintedSpec("warm", 3*fastSlots, eventCount))
 		time.Sleep(10 * time.Second)
-		long := hinted("long", quickSlots+1, events)
+		long := hintedSpec("long", fastSlots+1, events)
 		w.submit(long)
 		waited, longest := make(map[string]time.Duration), make(map[string]time.Duration)
-		for passed := time.Duration(0); passed < stepTime; passed += look {
-			time.Sleep(look)
+		for elapsed := time.Duration(0); elapsed < stepTime; elapsed += pollInterval {
+			time.Sleep(pollInterval)
 			listed := make(map[string]bool)
 			for _, result := range owner.results(long.ID) {
 				listed[result.ItemID] = true
@@ -61,27 +63,28 @@
 					waited[item.ID] = 0
 					continue
 				}
-				waited[item.ID] += look
+				waited[item.ID] += pollInterval
 				longest[item.ID] = max(longest[item.ID], waited[item.ID])
 			}
 		}
 		for _, item := range long.Items {
-			if longest[item.ID] > allowed {
-				t.Errorf("%s stood at no engine for %v", item.ID, longest[item.ID])
+			if longest[item.ID] > maxWaiting {
+				t.Errorf("%s ran on no engine for %v", item.ID, longest[item.ID])
 			}
 		}
 		owner.release()
 	})
 }
 
-// TestATextOfOneVersionDoesNotWaitForGood has an item break off whose result may hold one version only. The one engine that still serves the
-// version of its text turns it away for long; another one is free. The item waited for the first for as long as that was listed.
-func TestATextOfOneVersionDoesNotWaitForGood(t *testing.T) {
+// TestSingleVersionItemRestartsOnFreeEngine interrupts an item whose result must have one weight version. The only engine that
+// still serves the version of its text rejects it for a long time, while another engine is free. The item used to wait for the
+// first engine for as long as that engine was known.
+func TestSingleVersionItemRestartsOnFreeEngine(t *testing.T) {
 	const allowed = 5 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 2)
 		w.singleVersion = true
-		owner := w.node("owner")
+		owner := w.newNode("owner")
 		owner.own(1)
 		time.Sleep(time.Second)
 		w.engines.Behave("model1", memoryengine.Behaviour{Full: true, Load: time.Millisecond})
@@ -94,20 +97,20 @@
 		w.engines.Behave("model0", memoryengine.Behaviour{Down: true})
 		w.engines.Behave("model0", memoryengine.Behaviour{Full: true})
 		time.Sleep(allowed)
-		owner.checkWhole(one)
+		owner.checkComplete(one)
 		owner.release()
 	})
 }
 
-// TestATextOfOneVersionIsNotGivenUpForAFullEngine has an item break off whose result may hold one version only. Its engine turns it away for
-// 4 s; the other engine serves another version and is full of work of another process, which says so all the while. The text goes on where
-// it began: nothing is won by starting anew.
-func TestATextOfOneVersionIsNotGivenUpForAFullEngine(t *testing.T) {
+// TestSingleVersionItemResumesWhenOthersAreFull interrupts an item whose result must have one weight version. Its engine
+// rejects it for 4 s; the other engine serves another version and is full with work of another process, which reports its slots
+// all the time. The item must resume its text on its engine, since starting over would not be faster.
+func TestSingleVersionItemResumesWhenOthersAreFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 2)
 		w.singleVersion = true
-		owner := w.node("owner")
+		owner := w.newNode("owner")
 		owner.own(1)
 		time.Sleep(time.Second)
 		w.engines.Behave("model1", memoryengine.Behaviour{Full: true, Load: time.Millisecond})
@@ -127,7 +130,7 @@
 			owner.directory.SetPeerView("other", []fleet.EngineView{{Engine: "model1", Held: 4}}, false)
 			time.Sleep(100 * time.Millisecond)
 		}
-		owner.checkWhole(one)
+		owner.checkComplete(one)
 		var resumed []int64
 		for _, run := range w.engines.Runs() {
 			if run.RequestID == one.Items[0].ID {
@@ -135,19 +138,19 @@
 			}
 		}
 		is.True(len(resumed) > 1)
-		is.True(resumed[len(resumed)-1] > 0) // from where it broke off
+		is.True(resumed[len(resumed)-1] > 0) // resumes after the last event before the interruption
 		owner.release()
 	})
 }
 
-// TestItemsThatAreTurnedAwayGoElsewhere has both engines turn away all that comes, as engines that others fill, until one of them is free. Items
-// whose group prefers the other one asked that again and again: by then they came back only after the time for which an engine that
-// turned work away is left alone.
-func TestItemsThatAreTurnedAwayGoElsewhere(t *testing.T) {
+// TestRejectedItemsTryOtherEngines makes both engines reject all items, like engines that other processes have filled, until
+// one of them is free. Items whose group prefers the other engine used to be sent to that one again and again, because they
+// were retried only after the backoff of an engine that rejected work had ended.
+func TestRejectedItemsTryOtherEngines(t *testing.T) {
 	const jobs, full, allowed = 12, 2 * time.Second, 2 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 2)
-		owner := w.node("owner")
+		owner := w.newNode("owner")
 		owner.own(1)
 		time.Sleep(time.Second)
 		w.engines.Behave("model0", memoryengine.Behaviour{Full: true})
@@ -159,7 +162,7 @@
 			time.Sleep(full)
 			w.engines.Behave("model1", memoryengine.Behaviour{Pace: pace})
 			time.Sleep(allowed)
-			owner.checkWhole(one)
+			owner.checkComplete(one)
 		}
 		owner.release()
 	})
--- a/internal/jobrun/ejection_test.go
+++ b/internal/jobrun/ejection_test.go
@@ -11,43 +11,44 @@
 	"github.com/matryer/is"
 )
 
-// TestItemsGoByEjections has twelve items before an engine of four places and one that is gone. The gone one is ejected, all items get
-// their texts at the other, and the first item that runs at it once it is back takes it back.
-func TestItemsGoByEjections(t *testing.T) {
+// TestItemsAvoidEjectedEngine runs twelve items on an engine with four slots and one that is down. The engine that is down must
+// be ejected, all items must complete on the other one, and the first item that runs on the ejected engine after its return
+// must reinstate it.
+func TestItemsAvoidEjectedEngine(t *testing.T) {
 	const events = 100
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 2)
 		good := memoryengine.Behaviour{Pace: pace}
 		w.engines.Behave("model1", memoryengine.Behaviour{Down: true})
-		owner := w.node("owner")
-		ejections, back := 0, 0
+		owner := w.newNode("owner")
+		ejections, reinstated := 0, 0
 		owner.directory.OnEjection(func(ejection fleet.Ejection) {
 			if ejection.TakenBack {
-				back++
+				reinstated++
 			} else {
 				ejections++
 			}
 		})
 		owner.own(1)
 		time.Sleep(time.Second)
-		gone := hinted("gone", 12, events)
-		w.submit(gone)
+		first := hintedSpec("gone", 12, events)
+		w.submit(first)
 		time.Sleep(3 * time.Second)
 		is.Equal(owner.directory.Ejected(), 1)
-		is.True(ejections >= 2) // trials failed
+		is.True(ejections >= 2) // the first ejection and failed trials
 		is.True(ejections <= 5)
-		is.Equal(back, 0)
+		is.Equal(reinstated, 0)
 		w.engines.Behave("model1", good)
 		time.Sleep(20 * time.Second)
-		results := owner.results(gone.ID)
-		is.Equal(len(results), len(gone.Items))
+		results := owner.results(first.ID)
+		is.Equal(len(results), len(first.Items))
 		for _, result := range results {
 			is.Equal(result.Text, strings.Join(memoryengine.Text(result.ItemID, events), "\n"))
 		}
-		w.submit(hinted("back", 12, events))
+		w.submit(hintedSpec("back", 12, events))
 		time.Sleep(20 * time.Second)
 		is.Equal(owner.directory.Ejected(), 0)
-		is.Equal(back, 1)
+		is.Equal(reinstated, 1)
 	})
 }
--- a/internal/jobrun/execution.go
+++ b/internal/jobrun/execution.go
@@ -22,93 +22,95 @@
 )
 
 const (
-	// firstSilence bounds the wait for the first event: engines answer within milliseconds unless they queue.
-	firstSilence = 1200 * time.Millisecond
-	// gapLeast and gapPaces bound the silence between events: so many times the engine's usual pace.
-	gapLeast = 400 * time.Millisecond
-	gapPaces = 8
-	// gapMost bounds it where the pace is not known yet.
-	gapMost = 1500 * time.Millisecond
-	// moveLook is how often an item on a slow engine looks for a better one.
-	moveLook = 250 * time.Millisecond
-	// exactMost is how long a text of one version waits for an engine of its version. Callers allow an item 5 s at no engine beside free
-	// ones, of which placing takes some tenths.
-	exactMost = 3 * time.Second
-	// placeAgain is how long an item waits for an engine before it looks again at what it needs.
-	placeAgain = 300 * time.Millisecond
-	// retryLeast and retryMost bound the pause after a run that brought nothing.
-	retryLeast = 10 * time.Millisecond
-	retryMost  = 300 * time.Millisecond
-	// loadingPause is how long an engine that turned an item away for its weights is left alone.
-	loadingPause = 150 * time.Millisecond
-	// scoreTimeout bounds one call to a scorer with its attempts.
-	scoreTimeout = 6 * time.Second
-	scorePause   = 50 * time.Millisecond
-	// withheldLook is how often an item that is withheld for engines that ended under it, or the call that scores it, looks whether
-	// it still is.
-	withheldLook = 250 * time.Millisecond
-	// estimateSlack is added to ages that rest on the time of day of another process.
+	// firstEventTimeout bounds the wait for the first event: engines answer within milliseconds unless they queue requests.
+	firstEventTimeout = 1200 * time.Millisecond
+	// The timeout between two events is eventGapFactor times the engine's usual pace (time per event), but at least minEventGap.
+	minEventGap    = 400 * time.Millisecond
+	eventGapFactor = 8
+	// maxEventGap is the upper bound of that timeout, and its value while the engine's pace is not known.
+	maxEventGap = 1500 * time.Millisecond
+	// moveCheckInterval is how often an item that runs on a slow engine checks for a slot at a better one.
+	moveCheckInterval = 250 * time.Millisecond
+	// maxExactVersionWait is how long a text that must have one weight version waits for an engine that serves it. Callers accept
+	// that an item waits up to 5 s while engines are free, of which the assignment takes some tenths of a second.
+	maxExactVersionWait = 3 * time.Second
+	// acquireTimeout is how long an item waits for a slot before its requirements are computed anew.
+	acquireTimeout = 300 * time.Millisecond
+	// minRetryBackoff and maxRetryBackoff bound the exponential backoff after runs that produced no event.
+	minRetryBackoff = 10 * time.Millisecond
+	maxRetryBackoff = 300 * time.Millisecond
+	// loadingBackoff is how long an engine that rejected an item because it loads weights gets no further items.
+	loadingBackoff = 150 * time.Millisecond
+	// scoreTimeout bounds one call to a scorer, retries included.
+	scoreTimeout       = 6 * time.Second
+	scoreRetryInterval = 50 * time.Millisecond
+	// withheldPollInterval is how often the quarantine is queried again for an item, or for the scorer call of an item, that is
+	// withheld because engines ended while they ran it.
+	withheldPollInterval = 250 * time.Millisecond
+	// estimateSlack is added to deadlines that are computed from the wall clock of another process.
 	estimateSlack = 4 * time.Second
-	// giveUpSlack is added to the time at which an item may be given up.
-	giveUpSlack = 50 * time.Millisecond
+	// deadlineSlack is added to the time after which an item may be abandoned.
+	deadlineSlack = 50 * time.Millisecond
 )
 
-// errMove says that an item leaves its engine for a better one; errVersion that the engine's weights don't fit the job.
+// Errors by which the receiver ends a run: errMove when the item moves to a better engine, errVersion when the engine's weight
+// version is not allowed for the item.
 var (
-	errMove    = errors.New("a better engine has room")
-	errVersion = errors.New("weights are of another version than allowed")
+	errMove    = errors.New("item moves to a better engine")
+	errVersion = errors.New("weight version is not allowed for the item")
 )
 
-// execution runs one item.
+// execution runs one item of a job until it has a result.
 type execution struct {
 	runner *runner
 	view   job.View
 	item   job.Item
-	// ordinal is the item's place in the submission.
+	// ordinal is the item's position in the submission.
 	ordinal  int
 	rank     Rank
 	critical *criticalEvents
 
 	mutex sync.Mutex
-	// events are the data of the item's events so far; versions those that produced them.
+	// events holds the data of the item's events so far; versions holds the weight versions that produced them.
 	events   []string
 	versions []int64
 	failures int
-	// kept counts the events that the store has of the item, pieces the records that hold them of the line; a line of 0 has not
-	// begun.
-	kept   int
-	line   uint64
-	pieces int
-	// whole says that the events are all there are, score is the scorer's word on them.
-	whole   bool
-	score   string
-	settled bool
-	// held is how long the item has held places of engines, heldSince since when it holds one, zero while it does not.
+	// checkpointed is the number of events that the store has, and pieces the number of records of the line that hold them. A line
+	// of 0 has not been started.
+	checkpointed int
+	line         uint64
+	pieces       int
+	// complete is set when all events have been received; score is the scorer's answer to them.
+	complete bool
+	score    string
+	finished bool
+	// held is how long the item has held slots of engines so far, without the current one; heldSince is when the current slot was
+	// acquired, zero if there is none.
 	held      time.Duration
 	heldSince time.Time
-	// pending is progress of another owner that is to be taken over; interrupt ends the run under way.
+	// pending is progress of another owner that replaces the item's own before the next run; interrupt cancels the current run.
 	pending   *job.Progress
 	interrupt context.CancelFunc
 
-	// Only the goroutine of run touches these.
-	engine    fleet.Engine
-	current   int64
-	sentAt    time.Time
-	lastEvent time.Time
-	lookedAt  time.Time
-	brokenAt  time.Time
-	// waitingSince is when the item began to wait for an engine, zero while it does not.
+	// The fields below are accessed by the goroutine of run only, except yields.
+	engine         fleet.Engine
+	currentVersion int64
+	sentAt         time.Time
+	lastEventAt    time.Time
+	moveCheckedAt  time.Time
+	runEndedAt     time.Time
+	// waitingSince is when the item began to wait for an engine, zero while it does not wait.
 	waitingSince time.Time
-	fruitless    int
-	// next is the place that the item moves to, nil if none was acquired.
-	next *Place
-	// reserved is the place that another run gives up for this one, nil if none.
-	reserved *Reservation
-	// yielded is how often the item was asked to give its place up.
-	yielded atomic.Int32
-	// exclude holds the engine that is not to be asked next; refused says that it turned the item away.
-	exclude []string
-	refused bool
+	emptyRuns    int
+	// nextSlot is the slot that the item moves to, nil if none was acquired.
+	nextSlot *Slot
+	// reservation is the claim to a slot that another run gives up for this one, nil if there is none.
+	reservation *Reservation
+	// yields counts how often the item was requested to give its slot up.
+	yields atomic.Int32
+	// exclude holds the engine that the next run must not use; rejected reports that this engine rejected the item.
+	exclude  []string
+	rejected bool
 }
 
 func newExecution(r *runner, view job.View, open job.OpenItem, carried bool) *execution {
@@ -116,23 +118,23 @@
 		runner: r, view: view, item: open.Item, ordinal: open.Place,
 		rank: Rank{Carried: carried, Length: open.Item.LengthHint},
 	}
-	if open.Progress != nil && fits(open.Progress.Versions, view.Spec.MinVersion) {
-		e.takeOver(open.Progress)
+	if open.Progress != nil && versionsAllowed(open.Progress.Versions, view.Spec.MinVersion) {
+		e.setProgress(open.Progress)
 	}
 	return e
 }
 
-// run brings the item to a result and lists it, unless the context ends before.
+// run executes the item and lists its result, unless the context ends first.
 func (e *execution) run(ctx context.Context) {
 	e.awaitRoute(ctx)
-	runCtx, cancel := e.untilGivenUp(ctx)
+	runCtx, cancel := e.withDeadline(ctx)
 	defer cancel()
 	result := e.produce(runCtx)
 	if ctx.Err() != nil {
 		return
 	}
 	finished := time.Now()
-	e.settle()
+	e.markFinished()
 	e.runner.writer.list(e.view.Spec.ID, result, func() {
 		e.runner.config.Measures.listed(time.Since(finished))
 		e.runner.config.Logger.Info("item listed", "job", e.view.Spec.ID, "item", e.item.ID, "dead", result.Dead,
@@ -142,62 +144,62 @@
 	})
 }
 
-// sinceLastEvent is how long ago the item's last event came to this process, 0 if none has.
+// sinceLastEvent returns the time since this process received the item's last event, or 0 if it has received none.
 func (e *execution) sinceLastEvent() time.Duration {
-	if e.lastEvent.IsZero() {
+	if e.lastEventAt.IsZero() {
 		return 0
 	}
-	return time.Since(e.lastEvent)
+	return time.Since(e.lastEventAt)
 }
 
-// untilGivenUp bounds the run by the time at which the item may be given up.
-func (e *execution) untilGivenUp(ctx context.Context) (context.Context, context.CancelFunc) {
+// withDeadline returns a context that ends when the item may be abandoned.
+func (e *execution) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	route, known := e.itemRoute()
 	if !known || route.MaxWait <= 0 {
 		return context.WithCancel(ctx)
 	}
-	deadline := e.view.AcceptedAt.Add(route.MaxWait + giveUpSlack)
+	deadline := e.view.AcceptedAt.Add(route.MaxWait + deadlineSlack)
 	if e.view.Estimated {
 		deadline = deadline.Add(estimateSlack)
 	}
 	return context.WithDeadline(ctx, deadline)
 }
 
-// produce runs the item until its text is whole and scored, or it is given up.
+// produce runs the item until its text is complete and scored. The result is marked dead if the item is abandoned.
 func (e *execution) produce(ctx context.Context) *job.Result {
 	dead := &job.Result{ItemID: e.item.ID, Dead: true}
 	if !e.generate(ctx) {
 		return dead
 	}
 	e.mutex.Lock()
-	e.whole = true
+	e.complete = true
 	score := e.score
 	e.mutex.Unlock()
 	if score == "" {
-		asked, ok := e.askScorer(ctx)
+		received, ok := e.requestScore(ctx)
 		if !ok {
 			return dead
 		}
 		e.mutex.Lock()
-		e.score = asked
+		e.score = received
 		e.mutex.Unlock()
-		score = asked
+		score = received
 	}
 	return &job.Result{
 		ItemID: e.item.ID, Text: strings.Join(e.events, "\n"), Versions: slices.Clone(e.versions), Score: score,
 	}
 }
 
-// generate runs the item on engines until its text is whole. It returns false if the item is given up.
+// generate runs the item on engines until its text is complete. It returns false if the item is abandoned.
 func (e *execution) generate(ctx context.Context) bool {
-	defer e.dropNext()
+	defer e.releaseNextSlot()
 	for ctx.Err() == nil {
-		if e.takePending() {
+		if e.applyPending() {
 			return true
 		}
 		route, ok := e.route()
 		if !ok {
-			if e.ended(ctx, e.route) {
+			if e.routeRemoved(ctx, e.route) {
 				e.runner.config.Logger.Info("item given up, its route is gone", "item", e.item.ID, "job", e.view.Spec.ID)
 				return false
 			}
@@ -207,82 +209,82 @@
 			e.waitingSince = time.Now()
 		}
 		runCtx, cancel := e.interruptible(ctx)
-		place := e.takeNext()
-		if place == nil {
-			place, _ = e.acquire(runCtx, e.place(route), e.yielder(route, cancel))
+		slot := e.takeNextSlot()
+		if slot == nil {
+			slot, _ = e.acquire(runCtx, e.wantForNextRun(route), e.yieldFunc(route, cancel))
 		}
-		if place == nil {
+		if slot == nil {
 			cancel()
-			e.asksAgain()
+			e.includeRejected()
 			continue
 		}
 		if e.withheld(runCtx) {
 			cancel()
-			place.Release()
-			pause.For(ctx, withheldLook)
+			slot.Release()
+			pause.For(ctx, withheldPollInterval)
 			continue
 		}
 		if runCtx.Err() != nil {
 			e.runner.config.Quarantine.NotRun(e.call())
 			cancel()
-			place.Release()
+			slot.Release()
 			continue
 		}
 		before := len(e.events)
-		result := e.runAt(runCtx, cancel, place, route)
-		if done, whole := e.judge(ctx, route, result); done {
-			return whole
+		result := e.runInSlot(runCtx, cancel, slot, route)
+		if done, complete := e.handleEnding(ctx, route, result); done {
+			return complete
 		}
 		e.backOff(ctx, len(e.events) > before)
 	}
 	return false
 }
 
-// runAt runs the item at a place, and then ends the run's context and releases the place.
-func (e *execution) runAt(ctx context.Context, cancel context.CancelFunc, place *Place, route catalog.Route) eventrun.Result {
-	engine := place.Engine
+// runInSlot runs the item in a slot, and then cancels the run's context and releases the slot.
+func (e *execution) runInSlot(ctx context.Context, cancel context.CancelFunc, slot *Slot, route catalog.Route) eventrun.Result {
+	engine := slot.Engine
 	e.runner.config.Logger.Info("item placed", "job", e.view.Spec.ID, "item", e.item.ID, "group", e.item.Group, "engine", engine.ID,
 		"version", engine.Serves(e.view.Spec.Model), "min_version", e.view.Spec.MinVersion, "resume_after", len(e.events),
 		"epoch", e.runner.writer.Epoch(), "waited", time.Since(e.waitingSince).Round(time.Millisecond),
-		"left", math.Round(e.left()), "critical", math.Round(e.critical.Value()))
+		"left", math.Round(e.expectedEvents()), "critical", math.Round(e.critical.Value()))
 	waitingSince := e.waitingSince
 	e.waitingSince = time.Time{}
-	e.hold()
-	result := e.runOn(ctx, engine, route)
-	e.dropReserved()
+	e.markSlotHeld()
+	result := e.runOnEngine(ctx, engine, route)
+	e.dropReservation()
 	cancel()
-	place.Release()
-	e.letGo()
+	slot.Release()
+	e.markSlotReleased()
 	if result.Ending == eventrun.EndedNotRun {
-		// The item waits on: it has been at no engine.
+		// No engine ran the item, so its waiting time continues.
 		e.waitingSince = waitingSince
 	}
 	return result
 }
 
-// withheld tells whether the item is to go to no engine now, since engines have ended under it. It is asked once a place is there, so
-// that a trial that is given is made.
+// withheld reports whether the item must not be sent because engines ended while they ran it. It is called after a slot was
+// acquired, since a trial that the quarantine grants must then be made.
 func (e *execution) withheld(ctx context.Context) bool {
 	standing, _ := e.runner.config.Quarantine.Admit(ctx, e.call(), policy.ItemStrikes)
 	return standing == quarantine.Withheld
 }
 
-func (e *execution) runOn(ctx context.Context, engine fleet.Engine, route catalog.Route) eventrun.Result {
+func (e *execution) runOnEngine(ctx context.Context, engine fleet.Engine, route catalog.Route) eventrun.Result {
 	e.engine = engine
-	e.current = 0
-	e.lastEvent = time.Time{}
-	e.lookedAt = time.Now()
-	e.sentAt = e.lookedAt
+	e.currentVersion = 0
+	e.lastEventAt = time.Time{}
+	e.moveCheckedAt = time.Now()
+	e.sentAt = e.moveCheckedAt
 	call := e.call()
 	call.ResumeAfter = int64(len(e.events))
 	call.Priority = min(9, e.runner.config.Catalog.Priority(route, e.view.Spec.Tenant))
 	if deadline, bounded := ctx.Deadline(); bounded {
 		call.Remaining = time.Until(deadline)
 	}
-	return eventrun.Run(ctx, e.runner.config.Client, engine, call, e.silence(engine, route), e)
+	return eventrun.Run(ctx, e.runner.config.Client, engine, call, e.silenceLimits(engine, route), e)
 }
 
-// call returns what every run of the item sends.
+// call returns the request, which is the same for every run of the item except for the fields set by runOnEngine.
 func (e *execution) call() engineapi.Call {
 	return engineapi.Call{
 		Method: http.MethodPost, Target: e.item.Path, Host: e.view.Spec.Host, Header: header(e.item.Header),
@@ -290,34 +292,34 @@
 	}
 }
 
-// silence bounds how long the engine may say nothing.
-func (e *execution) silence(engine fleet.Engine, route catalog.Route) eventrun.Limits {
-	gap := gapMost
+// silenceLimits returns the timeouts for the engine's first event and between events.
+func (e *execution) silenceLimits(engine fleet.Engine, route catalog.Route) eventrun.Limits {
+	gap := maxEventGap
 	if pace := e.runner.config.Directory.Pace(engine.ID); pace > 0 {
-		gap = min(gapMost, max(gapLeast, gapPaces*pace))
+		gap = min(maxEventGap, max(minEventGap, eventGapFactor*pace))
 	}
-	first := firstSilence
+	first := firstEventTimeout
 	if route.SingleVersion {
-		// Runs that may not mix versions wait behind a load rather than start anew.
-		first = 4 * firstSilence
+		// A run that must not mix versions waits for the engine to load weights instead of starting over elsewhere.
+		first = 4 * firstEventTimeout
 	}
 	return eventrun.Limits{First: first, Gap: gap}
 }
 
-// Head takes the head of an engine's answer. Weights that don't fit end the run before its first event.
+// Head handles the head of an engine's answer. Weights of a version that is not allowed end the run before its first event.
 func (e *execution) Head(reply *engineapi.Reply) error {
 	if reply.Version != 0 && e.view.Spec.Model != "" {
 		e.runner.config.Directory.Correct(e.engine.ID, e.view.Spec.Model, reply.Version)
 	}
-	return e.serves(reply.Version)
+	return e.recordVersion(reply.Version)
 }
 
-// serves notes the version that the engine runs the item under.
-func (e *execution) serves(version int64) error {
+// recordVersion records the weight version that the engine runs the item with, and returns errVersion if it is not allowed.
+func (e *execution) recordVersion(version int64) error {
 	if version == 0 {
 		return nil
 	}
-	e.current = version
+	e.currentVersion = version
 	model := e.view.Spec.Model
 	if model != "" {
 		e.runner.config.Directory.SetServes(e.engine.ID, model, version)
@@ -331,38 +333,39 @@
 	return nil
 }
 
-// Event takes the next event.
+// Event appends the next event to the item's text. It returns errVersion if the weight version is not allowed, and errMove if
+// the item moves to a better engine.
 func (e *execution) Event(event engineapi.Event) error {
-	if err := e.serves(event.Version); err != nil {
+	if err := e.recordVersion(event.Version); err != nil {
 		return err
 	}
 	now := time.Now()
-	e.measure(now)
+	e.recordEvent(now)
 	e.mutex.Lock()
 	e.events = append(e.events, event.Data)
-	if e.current != 0 && !slices.Contains(e.versions, e.current) {
-		e.versions = append(e.versions, e.current)
+	if e.currentVersion != 0 && !slices.Contains(e.versions, e.currentVersion) {
+		e.versions = append(e.versions, e.currentVersion)
 	}
 	e.mutex.Unlock()
-	if e.findsBetter(now) {
+	if e.findBetterSlot(now) {
 		return errMove
 	}
 	return nil
 }
 
-func (e *execution) measure(now time.Time) {
+func (e *execution) recordEvent(now time.Time) {
 	measures := e.runner.config.Measures
 	if len(e.events) == 0 {
 		measures.firstEvent(now.Sub(e.view.AcceptedAt))
 	}
-	if !e.brokenAt.IsZero() {
-		measures.resumed(now.Sub(e.brokenAt))
-		e.brokenAt = time.Time{}
+	if !e.runEndedAt.IsZero() {
+		measures.resumed(now.Sub(e.runEndedAt))
+		e.runEndedAt = time.Time{}
 	}
-	if e.lastEvent.IsZero() {
+	if e.lastEventAt.IsZero() {
 		e.runner.config.Directory.Answered(e.engine.ID, e.sentAt)
 	} else {
-		e.runner.config.Directory.Paced(e.engine.ID, now.Sub(e.lastEvent))
+		e.runner.config.Directory.Paced(e.engine.ID, now.Sub(e.lastEventAt))
 	}
-	e.lastEvent = now
+	e.lastEventAt = now
 }
--- a/internal/jobrun/jobrun_test.go
+++ b/internal/jobrun/jobrun_test.go
@@ -19,21 +19,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 3)
-		owner, reader := w.node("owner"), w.node("reader")
+		owner, reader := w.newNode("owner"), w.newNode("reader")
 		owner.own(1)
 		one := spec("one", 10)
 		w.submit(one)
 		time.Sleep(2 * eventCount * pace)
-		reader.checkWhole(one)
+		reader.checkComplete(one)
 		is.Equal(len(w.engines.Runs()), 20)
 		owner.release()
 	})
 }
 
-// TestTroublesOfEngines brings about each trouble of an engine in the middle of a step, on one of three engines, and checks
-// that every item is whole in time.
-func TestTroublesOfEngines(t *testing.T) {
-	troubles := map[string]memoryengine.Behaviour{
+// TestItemsSurviveEngineFaults causes each kind of engine fault during a step, on one of three engines, and checks that every
+// item is complete in time.
+func TestItemsSurviveEngineFaults(t *testing.T) {
+	faults := map[string]memoryengine.Behaviour{
 		"down":     {Down: true},
 		"silent":   {Silent: true},
 		"stalled":  {Pace: time.Hour},
@@ -42,36 +42,36 @@
 		"slow":     {Pace: 8 * pace},
 		"foreign":  {Pace: pace, Foreign: true},
 	}
-	for name, trouble := range troubles {
+	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, 3)
-				owner := w.node("owner")
+				owner := w.newNode("owner")
 				owner.own(1)
 				one, two := spec("one", 10), spec("two", 10)
 				w.submit(one)
 				time.Sleep(5 * pace)
-				w.engines.Behave("model0", trouble)
+				w.engines.Behave("model0", fault)
 				time.Sleep(time.Second)
 				w.submit(two)
 				time.Sleep(5 * time.Second)
-				owner.checkWhole(one)
-				owner.checkWhole(two)
+				owner.checkComplete(one)
+				owner.checkComplete(two)
 				owner.release()
 			})
 		})
 	}
 }
 
-// TestItemsThatAlwaysFailAreGivenUp checks when an item may be given up, and that it is listed then.
-func TestItemsThatAlwaysFailAreGivenUp(t *testing.T) {
+// TestFailingItemsAreAbandoned checks after how many failures an item is abandoned, and that it is listed then.
+func TestFailingItemsAreAbandoned(t *testing.T) {
 	tests := []struct {
 		name      string
 		behaviour memoryengine.Behaviour
 		runs      int
 	}{
-		{"answers of 500", memoryengine.Behaviour{Status: 500}, attempts},
-		{"an answer of 422", memoryengine.Behaviour{Status: 422}, 1},
+		{"status 500", memoryengine.Behaviour{Status: 500}, attempts},
+		{"status 422", memoryengine.Behaviour{Status: 422}, 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 				is := is.New(t)
 				w := newWorld(t, 1)
 				w.engines.Behave("model0", test.behaviour)
-				owner := w.node("owner")
+				owner := w.newNode("owner")
 				owner.own(1)
 				w.submit(spec("one", 1))
 				time.Sleep(3 * time.Second)
@@ -93,14 +93,14 @@
 	}
 }
 
-func TestItemsAreGivenUpInTimeAndNotBefore(t *testing.T) {
+func TestItemsAreAbandonedAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 1)
 		w.engines.Behave("model0", memoryengine.Behaviour{Full: true})
-		owner := w.node("owner")
+		owner := w.newNode("owner")
 		owner.own(1)
-		// The job is seen as it is accepted, not afterwards, when its age would be an estimate.
+		// The owner must see the job when it is accepted: its age would be an estimate if it read the job later.
 		time.Sleep(time.Second)
 		w.submit(spec("one", 2))
 		time.Sleep(maxWait - 10*time.Millisecond)
@@ -112,12 +112,12 @@
 	})
 }
 
-// TestAnEndedJobReachesNoEngine checks that nothing of a job runs after its end.
-func TestAnEndedJobReachesNoEngine(t *testing.T) {
+// TestEndedJobReachesNoEngine checks that no item of a job runs after the job's end.
+func TestEndedJobReachesNoEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 1)
-		owner := w.node("owner")
+		owner := w.newNode("owner")
 		owner.own(1)
 		w.submit(spec("one", 30))
 		time.Sleep(10 * pace)
@@ -133,12 +133,13 @@
 	})
 }
 
-// TestEnginesOfOldVersionsGetNothing checks the oldest version allowed, and that a change in mid-run is told.
-func TestEnginesOfOldVersionsGetNothing(t *testing.T) {
+// TestOldVersionsAreNotUsed checks that engines below the job's minimum version get no items, and that a change of version
+// during a run is reported in the result.
+func TestOldVersionsAreNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 2)
-		owner := w.node("owner")
+		owner := w.newNode("owner")
 		owner.directory.SetServes("model1", modelName, 3)
 		w.load("model1", 3)
 		time.Sleep(time.Second)
@@ -149,7 +150,7 @@
 		time.Sleep(5 * pace)
 		w.load("model1", 4)
 		time.Sleep(3 * time.Second)
-		owner.checkWhole(one)
+		owner.checkComplete(one)
 		is.Equal(fmt.Sprint(owner.results("one")[0].Versions), "[3 4]")
 		for _, run := range w.engines.Runs() {
 			is.True(run.Engine != "model0")
@@ -158,12 +159,13 @@
 	})
 }
 
-// TestABeliefThatIsWrongMakesNoStaleText checks that the engine's word counts, not what is believed of it.
-func TestABeliefThatIsWrongMakesNoStaleText(t *testing.T) {
+// TestVersionReportedByEngineTakesPrecedence checks that an engine with an outdated version in the directory produces no text:
+// the version in the engine's answer takes precedence over the directory's.
+func TestVersionReportedByEngineTakesPrecedence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 2)
-		owner := w.node("owner")
-		// Both are believed to serve version 3; one does not.
+		owner := w.newNode("owner")
+		// The directory has version 3 for both engines; model0 serves version 2.
 		owner.directory.SetServes("model0", modelName, 3)
 		owner.directory.SetServes("model1", modelName, 3)
 		w.load("model1", 3)
@@ -173,14 +175,14 @@
 		one.MinVersion = 3
 		w.submit(one)
 		time.Sleep(6 * time.Second)
-		owner.checkWhole(one)
+		owner.checkComplete(one)
 		owner.release()
 	})
 }
 
-// TestTextsOfOneVersion checks, with loads at any moment, that a text never mixes versions where it may not, and lacks no
-// event. It failed for a text that started anew in the middle of a run.
-func TestTextsOfOneVersion(t *testing.T) {
+// TestSingleVersionTexts checks with loads at random times that a text never mixes versions where it must not, and lacks no
+// event. It failed for a text that was restarted during a run.
+func TestSingleVersionTexts(t *testing.T) {
 	for seed := range int64(25) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -188,7 +190,7 @@
 				random := rand.New(rand.NewSource(seed))
 				w := newWorld(t, 3)
 				w.singleVersion = true
-				owner := w.node("owner")
+				owner := w.newNode("owner")
 				owner.own(1)
 				one := spec("one", 12)
 				w.submit(one)
@@ -196,13 +198,13 @@
 					for _, engine := range w.models {
 						time.Sleep(time.Duration(random.Intn(400)) * time.Millisecond)
 						mode := []engineapi.LoadMode{engineapi.LoadCuts, engineapi.LoadKeeps}[random.Intn(2)]
-						w.loadBy(engine.ID, version, mode)
+						w.loadWithMode(engine.ID, version, mode)
 						owner.directory.SetServes(engine.ID, modelName, version)
 						owner.directory.SetLoading(engine.ID, modelName, time.Now().Add(500*time.Millisecond))
 					}
 				}
 				time.Sleep(8 * time.Second)
-				owner.checkWhole(one)
+				owner.checkComplete(one)
 				for _, result := range owner.results("one") {
 					is.Equal(len(result.Versions), 1)
 				}
@@ -212,27 +214,27 @@
 	}
 }
 
-// TestTakeovers lets owners take the partition from each other at any moment, some cut off from the store, over a store that
-// loses answers, and checks that every item is listed once and whole.
+// TestTakeovers makes owners take the partition over from each other at random times, some of them cut off from the store, with
+// a store that loses answers, and checks that every item is listed once and complete.
 func TestTakeovers(t *testing.T) {
 	for seed := range int64(25) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				playTakeovers(t, rand.New(rand.NewSource(seed)))
+				runTakeovers(t, rand.New(rand.NewSource(seed)))
 			})
 		})
 	}
 }
 
-func playTakeovers(t *testing.T, random *rand.Rand) {
+func runTakeovers(t *testing.T, random *rand.Rand) {
 	w := newWorld(t, 3)
-	nodes := []*node{w.node("a"), w.node("b")}
-	reader := w.node("reader")
+	nodes := []*node{w.newNode("a"), w.newNode("b")}
+	reader := w.newNode("reader")
 	losses := rand.New(rand.NewSource(random.Int63()))
-	silenced := ""
+	cutOff := ""
 	rule := func(call memorylog.Call) memorylog.Fault {
 		switch {
-		case call.Caller == silenced:
+		case call.Caller == cutOff:
 			return memorylog.Silent
 		case call.Caller != "gateway" && call.Operation == "append" && losses.Intn(5) == 0:
 			return memorylog.LostAfter
@@ -249,9 +251,9 @@
 			next.release()
 		}
 		w.store.SetRule(func(memorylog.Call) memorylog.Fault { return memorylog.None })
-		silenced = ""
+		cutOff = ""
 		if random.Intn(2) == 0 {
-			silenced = nodes[(epoch+1)%2].name
+			cutOff = nodes[(epoch+1)%2].name
 		}
 		w.store.SetRule(rule)
 		next.own(epoch + 1)
@@ -262,20 +264,20 @@
 	}
 	w.store.Heal()
 	time.Sleep(6 * time.Second)
-	reader.checkWhole(one)
-	reader.checkWhole(two)
+	reader.checkComplete(one)
+	reader.checkComplete(two)
 	for _, each := range nodes {
 		each.release()
 	}
 }
 
-// TestFinishedWorkOutlivesItsOwner is the fault found on days with lapses of the store: what the old owner had finished while
-// the store was away was run again by the next.
-func TestFinishedWorkOutlivesItsOwner(t *testing.T) {
+// TestResultsOfSupersededOwnerAreReused guards against repeated work after an outage of the store: texts that the old owner had
+// completed during the outage were generated again by the next owner.
+func TestResultsOfSupersededOwnerAreReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 3)
-		old, next := w.node("old"), w.node("next")
+		old, next := w.newNode("old"), w.newNode("next")
 		old.own(1)
 		one := spec("one", 6)
 		w.submit(one)
@@ -293,23 +295,23 @@
 		next.own(2)
 		old.release()
 		time.Sleep(time.Second)
-		next.checkWhole(one)
+		next.checkComplete(one)
 		for _, run := range w.engines.Runs()[finished:] {
-			// Runs that the next owner began at once were stopped when the old one's texts came.
+			// Runs that the next owner started in the meantime are stopped once it reads the old owner's texts.
 			is.True(!strings.HasPrefix(run.RequestID, "score-"))
 		}
 		next.release()
 	})
 }
 
-// TestGroupsThatComeAgainStartFromWhatIsKept checks that text of an earlier job is used where its versions fit.
-func TestGroupsThatComeAgainStartFromWhatIsKept(t *testing.T) {
+// TestResubmittedGroupsResumeEarlierText checks that the text of an earlier job is used if the new job allows its versions.
+func TestResubmittedGroupsResumeEarlierText(t *testing.T) {
 	for _, fits := range []bool{true, false} {
 		t.Run(fmt.Sprint("fits ", fits), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(t, 2)
-				owner := w.node("owner")
+				owner := w.newNode("owner")
 				owner.own(1)
 				one := spec("one", 2)
 				w.submit(one)
@@ -327,7 +329,7 @@
 				before := len(w.engines.Runs())
 				w.submit(again)
 				time.Sleep(4 * time.Second)
-				owner.checkWhole(again)
+				owner.checkComplete(again)
 				is.Equal(w.engines.Runs()[before].ResumeAfter > 0, fits)
 				owner.release()
 			})
@@ -335,18 +337,19 @@
 	}
 }
 
-// TestTextThatDoesNotFitHidesNoProgress is the fault found at the end of days: items that came again in a second job began anew
-// when its owner died, since the whole text of the first job, which the second doesn't allow, went before their own progress.
-func TestTextThatDoesNotFitHidesNoProgress(t *testing.T) {
+// TestProgressIsUsedWhenEarlierTextIsNotAllowed guards against lost progress of items that are submitted again in a second job.
+// They started over when the job's owner failed, since the complete text of the first job, whose versions the second job does
+// not allow, took precedence over their own progress.
+func TestProgressIsUsedWhenEarlierTextIsNotAllowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 2)
-		first, next := w.node("first"), w.node("next")
+		first, next := w.newNode("first"), w.newNode("next")
 		first.own(1)
 		one := spec("one", 2)
 		w.submit(one)
 		time.Sleep(time.Second)
-		first.checkWhole(one)
+		first.checkComplete(one)
 		w.end("one")
 		for _, engine := range w.models {
 			w.load(engine.ID, 3)
@@ -367,7 +370,7 @@
 		before := len(w.engines.Runs())
 		next.own(2)
 		time.Sleep(2 * time.Second)
-		next.checkWhole(again)
+		next.checkComplete(again)
 		is.True(len(w.engines.Runs()) > before)
 		for _, run := range w.engines.Runs()[before:] {
 			if !strings.HasPrefix(run.RequestID, "score-") {
@@ -378,15 +381,15 @@
 	})
 }
 
-// TestAnItemIsGivenUpInTimeByAnOwnerThatLearnsItsRouteLate has the owner take up a job before it knows the configuration: the item had no time
-// at which it may be given up, and engines were given no bound on its runs.
-func TestAnItemIsGivenUpInTimeByAnOwnerThatLearnsItsRouteLate(t *testing.T) {
+// TestDeadlineAppliesWhenRouteIsLearnedLate makes the owner start a job before it has read the catalog. The item used to have
+// no deadline then, and its requests to engines had no time limit.
+func TestDeadlineAppliesWhenRouteIsLearnedLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 1)
 		w.engines.Behave("model0", memoryengine.Behaviour{Full: true})
-		w.unconfigured = true
-		owner := w.node("owner")
+		w.withoutRoutes = true
+		owner := w.newNode("owner")
 		owner.own(1)
 		time.Sleep(time.Second)
 		w.submit(spec("one", 2))
--- a/internal/jobrun/judge.go
+++ b/internal/jobrun/judge.go
@@ -11,26 +11,27 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// judge decides what follows from the end of a run: done says that nothing more is run, whole that the text is.
-func (e *execution) judge(ctx context.Context, route catalog.Route, result eventrun.Result) (done, whole bool) {
+// handleEnding updates the item's state after a run. done reports that no further run is needed, complete that the text is
+// complete; an item that is done but not complete is abandoned.
+func (e *execution) handleEnding(ctx context.Context, route catalog.Route, result eventrun.Result) (done, complete bool) {
 	directory := e.runner.config.Directory
 	if result.Ending != eventrun.EndedWhole && ctx.Err() == nil {
 		e.runner.config.Logger.Info("run ended early", "job", e.view.Spec.ID, "item", e.item.ID, "engine", e.engine.ID,
 			"ending", result.Ending, "status", result.Status, "error", result.Err, "events", len(e.events),
-			"version", e.current)
+			"version", e.currentVersion)
 	}
-	e.brokenAt = time.Now()
-	e.exclude, e.refused = nil, false
+	e.runEndedAt = time.Now()
+	e.exclude, e.rejected = nil, false
 	switch result.Ending {
 	case eventrun.EndedWhole:
 		directory.Succeeded(e.engine.ID, 0)
 		e.runner.config.Quarantine.Answered(e.call())
-		e.runner.learnLength(e.item.LengthHint, len(e.events))
+		e.runner.recordLength(e.item.LengthHint, len(e.events))
 		return true, true
 	case eventrun.EndedNotRun:
-		e.turnedAway(result)
+		e.handleRejection(result)
 	case eventrun.EndedFailed:
-		return e.failed(route, result), false
+		return e.handleFailure(route, result), false
 	case eventrun.EndedByReceiver:
 		e.exclude = []string{e.engine.ID}
 	case eventrun.EndedBroken, eventrun.EndedSilent:
@@ -40,16 +41,16 @@
 		}
 		e.runner.config.Quarantine.Broke(ctx, e.call(), e.engine, result.Err, policy.ItemStrikes)
 		if result.Ending == eventrun.EndedSilent {
-			e.runner.config.Quarantine.Silent(e.call(), e.engine, gapLeast)
+			e.runner.config.Quarantine.Silent(e.call(), e.engine, minEventGap)
 		}
 	}
 	return false, false
 }
 
-// turnedAway takes that the engine did not run the item. Others are asked first: the engine is left alone for less long than an item that
-// was turned away often waits.
-func (e *execution) turnedAway(result eventrun.Result) {
-	e.exclude, e.refused = []string{e.engine.ID}, true
+// handleRejection handles a run that the engine did not start. The engine is excluded from the next run, since its backoff in
+// the directory ends before an item that was rejected often is retried.
+func (e *execution) handleRejection(result eventrun.Result) {
+	e.exclude, e.rejected = []string{e.engine.ID}, true
 	e.runner.config.Quarantine.NotRun(e.call())
 	directory := e.runner.config.Directory
 	if result.Err != nil {
@@ -57,18 +58,19 @@
 		return
 	}
 	directory.TurnedAway(e.engine.ID)
-	directory.SetLoading(e.engine.ID, e.view.Spec.Model, time.Now().Add(loadingPause))
+	directory.SetLoading(e.engine.ID, e.view.Spec.Model, time.Now().Add(loadingBackoff))
 }
 
-// asksAgain has the engine that turned the item away asked again, where no other one has taken it.
-func (e *execution) asksAgain() {
-	if e.refused {
-		e.exclude, e.refused = nil, false
+// includeRejected allows the engine that rejected the item again, after no other engine could be acquired.
+func (e *execution) includeRejected() {
+	if e.rejected {
+		e.exclude, e.rejected = nil, false
 	}
 }
 
-// failed counts an answer of the engine that the item failed; it returns true if the item is given up for it.
-func (e *execution) failed(route catalog.Route, result eventrun.Result) bool {
+// handleFailure handles an error status of the engine. It returns true if the item is abandoned: after one 422, or after as
+// many answers with status 500 as the route allows attempts.
+func (e *execution) handleFailure(route catalog.Route, result eventrun.Result) bool {
 	if result.Status == http.StatusUnprocessableEntity {
 		return true
 	}
@@ -82,12 +84,12 @@
 	return e.failures >= route.MaxAttempts
 }
 
-// backOff waits after runs that brought nothing, longer each time.
+// backOff waits after a run that produced no event, doubling the delay up to maxRetryBackoff.
 func (e *execution) backOff(ctx context.Context, advanced bool) {
 	if advanced {
-		e.fruitless = 0
+		e.emptyRuns = 0
 		return
 	}
-	pause.For(ctx, min(retryMost, retryLeast<<min(e.fruitless, 5)))
-	e.fruitless++
+	pause.For(ctx, min(maxRetryBackoff, minRetryBackoff<<min(e.emptyRuns, 5)))
+	e.emptyRuns++
 }
--- a/internal/jobrun/leftovers.go
+++ b/internal/jobrun/leftovers.go
@@ -4,8 +4,8 @@
 	"github.com/hillfork/hillfork/internal/job"
 )
 
-// carriedGroups returns the groups of which an item was in an earlier job: the trainer waits for these whatever others are
-// whole.
+// carriedGroups returns the groups of which an item was already part of an earlier job. The trainer waits for these groups, no
+// matter which others are complete.
 func (r *runner) carriedGroups(spec *job.Spec) map[string]bool {
 	carried := make(map[string]bool)
 	for _, item := range spec.Items {
@@ -16,14 +16,14 @@
 	return carried
 }
 
-// kept returns what is there of an item's text from an earlier job, nil if the job does not allow its versions or it is no further than
-// the item's own progress.
-func (r *runner) kept(spec *job.Spec, open job.OpenItem) *job.Progress {
+// earlierProgress returns the item's text from an earlier job. It returns nil if there is none, if its weight versions are not
+// allowed by the job, or if it has no more events than the item's own progress.
+func (r *runner) earlierProgress(spec *job.Spec, open job.OpenItem) *job.Progress {
 	earlier := r.ledger.Text(spec.ID, open.Item.ID)
 	if earlier == nil {
-		earlier = r.leftovers[open.Item.ID]
+		earlier = r.partialTexts[open.Item.ID]
 	}
-	if earlier == nil || !fits(earlier.Versions, spec.MinVersion) {
+	if earlier == nil || !versionsAllowed(earlier.Versions, spec.MinVersion) {
 		return nil
 	}
 	if open.Progress != nil && !earlier.Further(open.Progress) {
@@ -32,20 +32,21 @@
 	return earlier
 }
 
-// leftoversMost bounds the items of ended jobs whose text is kept.
-const leftoversMost = 256
+// maxPartialTexts bounds the number of kept texts: once it is exceeded, all are dropped before the texts of the next job are added.
+const maxPartialTexts = 256
 
-// keepLeftovers keeps the text of the items of a job that ended before they were listed: their groups may come again.
-func (r *runner) keepLeftovers(running *runningJob) {
-	if len(r.leftovers) > leftoversMost {
-		clear(r.leftovers)
+// savePartialTexts keeps the incomplete texts of an ended job's items, since their groups may be submitted again in a later
+// job.
+func (r *runner) savePartialTexts(running *runningJob) {
+	if len(r.partialTexts) > maxPartialTexts {
+		clear(r.partialTexts)
 	}
 	for id, execution := range running.items {
 		progress, _ := execution.progress()
 		if !progress.Whole && len(progress.Events) > 0 {
-			// The scorer's word belongs to a call of the earlier job.
+			// The score belongs to a call of the earlier job.
 			progress.Score = ""
-			r.leftovers[id] = &progress
+			r.partialTexts[id] = &progress
 		}
 	}
 }
--- a/internal/jobrun/measures.go
+++ b/internal/jobrun/measures.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Measures takes what the runners measure. A nil field takes nothing.
+// Measures holds the callbacks to which runners report durations. A nil field is not called.
 type Measures struct {
 	// FirstEvent is the time from a job's acceptance to the first event of an item.
 	FirstEvent func(time.Duration)
--- a/internal/jobrun/move.go
+++ b/internal/jobrun/move.go
@@ -9,17 +9,17 @@
 	"github.com/hillfork/hillfork/internal/fleet"
 )
 
-// findsBetter tells whether there is a better place for the item, which is then in next.
-func (e *execution) findsBetter(now time.Time) bool {
-	if e.reserved != nil {
-		if e.next = e.reserved.Take(); e.next != nil {
+// findBetterSlot reports whether a slot at a better engine was acquired for the item; it is then in nextSlot.
+func (e *execution) findBetterSlot(now time.Time) bool {
+	if e.reservation != nil {
+		if e.nextSlot = e.reservation.Take(); e.nextSlot != nil {
 			return true
 		}
 	}
-	if now.Sub(e.lookedAt) < moveLook {
+	if now.Sub(e.moveCheckedAt) < moveCheckInterval {
 		return false
 	}
-	e.lookedAt = now
+	e.moveCheckedAt = now
 	route, ok := e.route()
 	if !ok {
 		return false
@@ -27,54 +27,55 @@
 	want := e.want(route)
 	rank := e.rankOf(want)
 	queue := e.runner.config.Queue
-	if e.next = queue.AcquireBetter(e.engine.ID, rank, want); e.next != nil {
+	if e.nextSlot = queue.AcquireBetter(e.engine.ID, rank, want); e.nextSlot != nil {
 		return true
 	}
-	if e.reserved == nil {
+	if e.reservation == nil {
 		e.reserve(rank, want)
 	}
 	return false
 }
 
-// reserve asks a run at a quicker engine to give its place up, if the item may hold its step and any such run can wait.
+// reserve requests the slot of a run at a faster engine, if the item may be the last of its step and one of the runs there can
+// wait.
 func (e *execution) reserve(rank Rank, want fleet.Want) {
-	e.reserved = e.runner.config.Queue.Reserve(e.engine.ID, rank, want)
-	if e.reserved != nil {
-		e.runner.config.Logger.Info("item asks for a quicker place", "job", e.view.Spec.ID, "item", e.item.ID, "engine", e.engine.ID,
+	e.reservation = e.runner.config.Queue.Reserve(e.engine.ID, rank, want)
+	if e.reservation != nil {
+		e.runner.config.Logger.Info("item requests a slot at a faster engine", "job", e.view.Spec.ID, "item", e.item.ID, "engine", e.engine.ID,
 			"left", math.Round(want.Events), "critical", math.Round(e.critical.Value()), "slack", want.Slack.Round(time.Millisecond))
 	}
 }
 
-// dropReserved gives back what was reserved for the run that ended.
-func (e *execution) dropReserved() {
-	if e.reserved != nil {
-		e.reserved.Drop()
-		e.reserved = nil
+// dropReservation drops the reservation of the run that ended.
+func (e *execution) dropReservation() {
+	if e.reservation != nil {
+		e.reservation.Drop()
+		e.reservation = nil
 	}
 }
 
-// yielder returns what makes the item give its place up, nil if it can't go on wherever there is room: a text of one version may
-// find no engine of it any more.
-func (e *execution) yielder(route catalog.Route, cancel context.CancelFunc) func() {
+// yieldFunc returns the function that makes the item give its slot up. It returns nil for texts of one version, which can't
+// continue on any free engine: there may be no engine left that serves their version.
+func (e *execution) yieldFunc(route catalog.Route, cancel context.CancelFunc) func() {
 	if route.SingleVersion {
 		return nil
 	}
 	return func() {
-		e.yielded.Add(1)
+		e.yields.Add(1)
 		cancel()
 	}
 }
 
-// dropNext gives the place back that the item was to move to, if it does not.
-func (e *execution) dropNext() {
-	if next := e.takeNext(); next != nil {
+// releaseNextSlot releases the slot that the item was to move to, if it does not move.
+func (e *execution) releaseNextSlot() {
+	if next := e.takeNextSlot(); next != nil {
 		next.Release()
 	}
 }
 
-// takeNext returns the place that the item moves to, nil if there is none.
-func (e *execution) takeNext() *Place {
-	next := e.next
-	e.next = nil
+// takeNextSlot returns the slot that the item moves to and clears it; it returns nil if there is none.
+func (e *execution) takeNextSlot() *Slot {
+	next := e.nextSlot
+	e.nextSlot = nil
 	return next
 }
--- a/internal/jobrun/partition.go
+++ b/internal/jobrun/partition.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// followWait is how long the store may hold a read of an owned partition open, followSpacing the least time between two
-	// reads that brought records: results are appended in quick succession.
-	followWait    = 2 * time.Second
-	followSpacing = 20 * time.Millisecond
+	// followReadWait is how long the store may hold a read of an owned partition open. minFollowInterval is the minimum time
+	// between two reads that returned records, since results are appended in quick succession.
+	followReadWait    = 2 * time.Second
+	minFollowInterval = 20 * time.Millisecond
 )
 
-// applier folds the records of the partition.
+// applier applies the records of the partition to the ledger.
 type applier struct {
 	runner *runner
 }
@@ -31,60 +31,61 @@
 
 func (a applier) Advanced(int64) {}
 
-// confirmIndex waits until the index holds all that it held when the epoch was set. An earlier owner settled no job before the
-// index had its end, and can settle none any more.
+// confirmIndex waits until the index contains all records that it had when the epoch was set. Then it contains the ends of all
+// jobs that earlier owners settled: they wrote these before the epoch was set and can settle no job afterwards.
 func (r *runner) confirmIndex(ctx context.Context) bool {
 	for {
 		err := follow.Confirm(ctx, r.config.Log, keyedlog.JobIndex, r.config.IndexFollower)
 		if err == nil || ctx.Err() != nil {
 			return err == nil
 		}
-		errorlog.Debug(r.config.Logger, "index of jobs not confirmed", err, "partition", r.partition)
-		if !pause.For(ctx, appendPause) {
+		errorlog.Debug(r.config.Logger, "cannot confirm the job index, retrying", err, "partition", r.partition)
+		if !pause.For(ctx, appendRetryInterval) {
 			return false
 		}
 	}
 }
 
-// follow reads the partition from the earliest job on of which more may be listed, up to its end, and returns a follower of what
-// comes after. Items run once all is read, so that it is read in several parts at once; if one fails, the follower reads it all.
+// follow reads the partition up to its end, beginning with the earliest job of which results may still be listed, and returns a
+// follower for later records. Items run only after everything is read, so several parts are read at once; if one fails, the
+// follower reads the whole range.
 func (r *runner) follow(ctx context.Context, end int64) *follow.Follower {
-	r.covered = r.config.Index.Start(r.partition.Number, end)
+	r.readFrom = r.config.Index.Start(r.partition.Number, end)
 	from := end
-	if err := follow.RangeTogether(ctx, r.config.Log, r.partition, r.covered, end, applier{r}); err != nil {
-		errorlog.Debug(r.config.Logger, "partition not read at once", err, "partition", r.partition, "from", r.covered, "end", end)
-		from = r.covered
+	if err := follow.RangeTogether(ctx, r.config.Log, r.partition, r.readFrom, end, applier{r}); err != nil {
+		errorlog.Debug(r.config.Logger, "parallel read failed, reading sequentially", err, "partition", r.partition, "from", r.readFrom, "end", end)
+		from = r.readFrom
 	}
 	return follow.New(follow.Config{
-		Log: r.config.Log, Partition: r.partition, Applier: applier{r}, From: from, Wait: followWait, Spacing: followSpacing,
+		Log: r.config.Log, Partition: r.partition, Applier: applier{r}, From: from, Wait: followReadWait, Spacing: minFollowInterval,
 		Logger: r.config.Logger,
 	})
 }
 
-// cover reads what lies before the part of the partition that is followed, if the index has learnt of a job there since: its
-// submission came before the epoch was set, its entry after the index was read.
-func (r *runner) cover(ctx context.Context) {
-	if r.covered == 0 {
+// readEarlier reads records before the followed part of the partition, if the index has since learned of a job there: one whose
+// items were written before the epoch was set, but whose index entry was written after the index was read.
+func (r *runner) readEarlier(ctx context.Context) {
+	if r.readFrom == 0 {
 		return
 	}
-	from := r.covered
+	from := r.readFrom
 	for _, status := range r.config.Index.Unsettled(r.partition.Number) {
 		from = min(from, status.Entry.Offset)
 	}
-	if from == r.covered {
+	if from == r.readFrom {
 		return
 	}
-	if err := follow.Range(ctx, r.config.Log, r.partition, from, r.covered, 0, applier{r}); err != nil {
-		errorlog.Debug(r.config.Logger, "earlier records not read", err, "partition", r.partition, "from", from)
+	if err := follow.Range(ctx, r.config.Log, r.partition, from, r.readFrom, 0, applier{r}); err != nil {
+		errorlog.Debug(r.config.Logger, "cannot read earlier records", err, "partition", r.partition, "from", from)
 		return
 	}
-	r.covered = from
+	r.readFrom = from
 }
 
-// settle ends the listing of jobs that have ended or are listed whole, and has the index say so, so that nobody reads the
-// partition beyond for them. Nothing is listed after the record that is written here: the writer takes no further result of
-// the job, and a later owner finds the job's end in the index.
-func (r *runner) settle(ctx context.Context) {
+// settleJobs closes jobs that have ended or whose results are all listed, and records this in the index, so that no process
+// reads the partition past that offset for them. Nothing is listed after the record that is written here: the writer accepts no
+// further result of the job, and a later owner finds the job's end in the index.
+func (r *runner) settleJobs(ctx context.Context) {
 	for _, status := range r.config.Index.Unsettled(r.partition.Number) {
 		id := status.Entry.JobID
 		if r.settling[id] {
@@ -95,19 +96,19 @@
 			continue
 		}
 		r.settling[id] = true
-		took := r.takeTook(id)
-		needless := r.ledger.PieceKeys(id)
-		r.writer.close(id, needless, func(end int64) {
+		usage := r.takeUsage(id)
+		obsoleteKeys := r.ledger.PieceKeys(id)
+		r.writer.closeJob(id, obsoleteKeys, func(end int64) {
 			r.config.Logger.Info("job closed", "job", id, "partition", r.partition, "epoch", r.writer.Epoch(), "listed", listed,
-				"ended", status.Ended, "dropped", len(needless), "dropped_first", first(needless))
-			r.active.Go(func() { r.announceSettled(ctx, id, end, took) })
+				"ended", status.Ended, "dropped", len(obsoleteKeys), "dropped_first", firstOrEmpty(obsoleteKeys))
+			r.active.Go(func() { r.recordSettled(ctx, id, end, usage) })
 		})
 	}
 }
 
-// announceSettled writes to the index that a job is settled, until it is there.
-func (r *runner) announceSettled(ctx context.Context, id string, end int64, took job.Took) {
-	record, err := job.EncodeSettled(id, end, took)
+// recordSettled writes to the index that a job is settled, retrying until the append succeeds or the context ends.
+func (r *runner) recordSettled(ctx context.Context, id string, end int64, usage job.Took) {
+	record, err := job.EncodeSettled(id, end, usage)
 	if err != nil {
 		errorlog.Error(r.config.Logger, "settled job does not encode", err, "job", id)
 		return
@@ -116,44 +117,44 @@
 		_, err := r.config.Log.Append(ctx, keyedlog.JobIndex, []keyedlog.Record{record}, nil)
 		if err == nil {
 			r.config.Logger.Info("job settled", "job", id, "partition", r.partition, "epoch", r.writer.Epoch(), "end", end,
-				"items_took", took.Items.Round(time.Millisecond), "longest_took", took.Longest.Round(time.Millisecond))
+				"items_took", usage.Items.Round(time.Millisecond), "longest_took", usage.Longest.Round(time.Millisecond))
 			return
 		}
-		if !pause.For(ctx, appendPause) {
+		if !pause.For(ctx, appendRetryInterval) {
 			return
 		}
 	}
 }
 
-// expire drops jobs that nobody may ask for any more, their index records last, so that what is left after a failure is
-// dropped at the next try.
-func (r *runner) expire(ctx context.Context) {
+// dropExpired deletes the records of jobs that are past their retention. Index records are deleted last, so that what remains
+// after a failure is deleted by the next attempt.
+func (r *runner) dropExpired(ctx context.Context) {
 	if !r.expiring.CompareAndSwap(false, true) {
 		return
 	}
 	defer r.expiring.Store(false)
 	for _, expired := range r.config.Index.Expired(r.partition.Number, time.Now().Add(-r.config.Retention-expireSlack)) {
-		if err := r.appendUnfenced(ctx, dropped(expired.JobKeys)); err != nil {
+		if err := r.appendUnfenced(ctx, tombstones(expired.JobKeys)); err != nil {
 			return
 		}
-		if _, err := r.config.Log.Append(ctx, keyedlog.JobIndex, dropped(expired.IndexKeys), nil); err != nil {
-			errorlog.Debug(r.config.Logger, "expired job stays in the index", err, "job", expired.JobID)
+		if _, err := r.config.Log.Append(ctx, keyedlog.JobIndex, tombstones(expired.IndexKeys), nil); err != nil {
+			errorlog.Debug(r.config.Logger, "cannot delete expired job from the index", err, "job", expired.JobID)
 			return
 		}
 		r.config.Logger.Info("job expired", "job", expired.JobID, "partition", r.partition)
 	}
 }
 
-// first returns the first of some keys, empty if there is none.
-func first(keys []string) string {
+// firstOrEmpty returns the first key, or an empty string if there is none.
+func firstOrEmpty(keys []string) string {
 	if len(keys) == 0 {
 		return ""
 	}
 	return keys[0]
 }
 
-// dropped returns the records that drop keys.
-func dropped(keys []string) []keyedlog.Record {
+// tombstones returns the records that delete the keys.
+func tombstones(keys []string) []keyedlog.Record {
 	records := make([]keyedlog.Record, len(keys))
 	for i, key := range keys {
 		records[i] = keyedlog.Record{Key: key}
--- a/internal/jobrun/partition_test.go
+++ b/internal/jobrun/partition_test.go
@@ -14,41 +14,41 @@
 	"github.com/matryer/is"
 )
 
-// TestItemsWithoutAnEntryNeverRun checks that a submission which came no further than its items is no job.
-func TestItemsWithoutAnEntryNeverRun(t *testing.T) {
+// TestItemsWithoutIndexEntryAreNotRun checks that a submission without an entry in the index is not treated as a job.
+func TestItemsWithoutIndexEntryAreNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 1)
-		owner := w.node("owner")
+		owner := w.newNode("owner")
 		owner.own(1)
-		w.write(spec("one", 3))
+		w.writeItems(spec("one", 3))
 		time.Sleep(5 * time.Second)
 		is.Equal(len(w.engines.Runs()), 0)
 		owner.release()
 	})
 }
 
-// TestAJobWhoseItemsLieBeforeTheTakeoverIsRun checks that an owner runs a job that the index had no entry of when it took the
-// partition over, though it reads the partition from there on only.
-func TestAJobWhoseItemsLieBeforeTheTakeoverIsRun(t *testing.T) {
+// TestJobIndexedAfterTakeoverIsRun checks that an owner runs a job whose index entry was written after the owner took the
+// partition over, although its items were written before and the owner follows the partition only from the takeover on.
+func TestJobIndexedAfterTakeoverIsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 2)
 		earlier, late, next := spec("earlier", 1), spec("late", 4), spec("next", 4)
 		w.submit(earlier)
-		items := w.write(late)
-		owner := w.node("owner")
+		items := w.writeItems(late)
+		owner := w.newNode("owner")
 		owner.own(1)
 		time.Sleep(2 * time.Second)
-		w.enter(late, items)
+		w.addToIndex(late, items)
 		w.submit(next)
 		time.Sleep(3 * time.Second)
-		owner.checkWhole(late)
-		owner.checkWhole(next)
+		owner.checkComplete(late)
+		owner.checkComplete(next)
 		owner.release()
 	})
 }
 
-// TestSettledJobs checks when the index says that a job is settled, and that nothing is listed after that.
+// TestSettledJobs checks when the index marks a job as settled, and that nothing is listed after that.
 func TestSettledJobs(t *testing.T) {
 	tests := []struct {
 		name string
@@ -56,9 +56,9 @@
 		end     time.Duration
 		settled time.Duration
 	}{
-		{"all is listed", 0, 3 * time.Second},
+		{"all results listed", 0, 3 * time.Second},
 		{"ended before its first event", time.Millisecond, 300 * time.Millisecond},
-		{"ended in mid-run", 5 * pace, 600 * time.Millisecond},
+		{"ended while items run", 5 * pace, 600 * time.Millisecond},
 		{"ended while results are listed", eventCount*pace + 40*time.Millisecond, time.Second},
 	}
 	for _, test := range tests {
@@ -66,7 +66,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(t, 2)
-				owner := w.node("owner")
+				owner := w.newNode("owner")
 				owner.own(1)
 				time.Sleep(time.Second)
 				w.submit(spec("one", 8))
@@ -92,13 +92,13 @@
 	}
 }
 
-// TestTheNextOwnerSettlesAJob checks that a job that ended while nobody owned its partition is settled by the next owner, which
-// lists nothing of it.
-func TestTheNextOwnerSettlesAJob(t *testing.T) {
+// TestNextOwnerSettlesEndedJob checks that a job that ended while its partition had no owner is settled by the next owner,
+// which lists none of its results.
+func TestNextOwnerSettlesEndedJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 2)
-		first, second := w.node("first"), w.node("second")
+		first, second := w.newNode("first"), w.newNode("second")
 		first.own(1)
 		w.submit(spec("one", 8))
 		time.Sleep(5 * pace)
@@ -115,13 +115,13 @@
 	})
 }
 
-// TestAnIndexThatCannotBeReadDelaysTheTakeover checks that an owner runs nothing before it knows all ends that were
+// TestUnreadableIndexDelaysTakeover checks that an owner runs no items before it has read all ends of jobs that were
 // acknowledged before its epoch.
-func TestAnIndexThatCannotBeReadDelaysTheTakeover(t *testing.T) {
+func TestUnreadableIndexDelaysTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 2)
-		owner := w.node("owner")
+		owner := w.newNode("owner")
 		time.Sleep(time.Second)
 		w.store.SetRule(func(call memorylog.Call) memorylog.Fault {
 			if call.Caller == "owner" && call.Partition == keyedlog.JobIndex {
@@ -143,12 +143,12 @@
 	})
 }
 
-// TestATakeoverWaitsForTheIndexToBeInStep checks that an owner which knows of a job, but not yet of its end, runs nothing of it.
-func TestATakeoverWaitsForTheIndexToBeInStep(t *testing.T) {
+// TestTakeoverWaitsForIndex checks that an owner that has read a job but not yet its end runs none of its items.
+func TestTakeoverWaitsForIndex(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 2)
-		owner := w.node("owner")
+		owner := w.newNode("owner")
 		w.submit(spec("one", 4))
 		time.Sleep(time.Second)
 		w.store.SetRule(func(call memorylog.Call) memorylog.Fault {
@@ -168,13 +168,13 @@
 	})
 }
 
-// TestExpiredJobsLeaveNothingInTheStore checks that the owner drops every record of a job that nobody may ask for any more,
-// also of jobs that were settled before it took the partition over.
-func TestExpiredJobsLeaveNothingInTheStore(t *testing.T) {
+// TestExpiredJobsAreDeleted checks that the owner deletes every record of a job past its retention, also of jobs that were
+// settled before it took the partition over.
+func TestExpiredJobsAreDeleted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 3)
-		first, second := w.node("first"), w.node("second")
+		first, second := w.newNode("first"), w.newNode("second")
 		first.own(1)
 		w.submit(spec("one", 4))
 		time.Sleep(2 * time.Second)
@@ -184,20 +184,20 @@
 		w.submit(spec("three", 4))
 		second.own(2)
 		time.Sleep(3 * time.Second)
-		second.checkWhole(spec("three", 4))
-		is.True(len(kept(t, w, jobsPartition())) > 0)
+		second.checkComplete(spec("three", 4))
+		is.True(len(keptKeys(t, w, jobsPartition())) > 0)
 		time.Sleep(2 * time.Minute)
-		// The owner's own record names no job.
-		is.Equal(kept(t, w, jobsPartition()), []string{keyedlog.OwnerKey})
-		is.Equal(kept(t, w, keyedlog.JobIndex), nil)
+		// The record with the owner's epoch belongs to no job.
+		is.Equal(keptKeys(t, w, jobsPartition()), []string{keyedlog.OwnerKey})
+		is.Equal(keptKeys(t, w, keyedlog.JobIndex), nil)
 		_, known := second.index.Job("one")
 		is.True(!known)
 		second.release()
 	})
 }
 
-// kept returns the keys of which a partition holds a record for good.
-func kept(t *testing.T, w *world, partition keyedlog.Partition) []string {
+// keptKeys returns the keys for which the store keeps a record of the partition.
+func keptKeys(t *testing.T, w *world, partition keyedlog.Partition) []string {
 	var keys []string
 	after := ""
 	for {
@@ -215,12 +215,12 @@
 	}
 }
 
-// TestASettledJobTellsWhatItTook checks that the index learns how long a job's items held engines, and nothing where no owner has run
-// the whole job: a part would pass for little work.
-func TestASettledJobTellsWhatItTook(t *testing.T) {
+// TestSettledJobReportsEngineTime checks that the index records how long a job's items held engine slots, and records nothing
+// if no single owner has run the whole job: a partial time would look like a small amount of work.
+func TestSettledJobReportsEngineTime(t *testing.T) {
 	tests := []struct {
 		name string
-		// handedOver passes the job on in the middle of its items.
+		// handedOver moves the partition to another owner while the items run.
 		handedOver bool
 	}{
 		{"one owner", false},
@@ -232,7 +232,7 @@
 				is := is.New(t)
 				const items = 8
 				w := newWorld(t, 2)
-				first, second := w.node("first"), w.node("second")
+				first, second := w.newNode("first"), w.newNode("second")
 				first.own(1)
 				time.Sleep(time.Second)
 				w.submit(spec("one", items))
@@ -244,32 +244,33 @@
 				time.Sleep(4 * time.Second)
 				status, _ := second.index.Job("one")
 				is.True(status.Settled)
-				took := status.Took
+				usage := status.Took
 				if test.handedOver {
-					is.Equal(took, job.Took{})
+					is.Equal(usage, job.Took{})
 					second.release()
 					return
 				}
-				is.True(took.Longest >= eventCount*pace && took.Longest < 2*eventCount*pace)
-				is.True(took.Items >= items*eventCount*pace && took.Items <= items*took.Longest)
+				is.True(usage.Longest >= eventCount*pace && usage.Longest < 2*eventCount*pace)
+				is.True(usage.Items >= items*eventCount*pace && usage.Items <= items*usage.Longest)
 				first.release()
 			})
 		})
 	}
 }
 
-// TestAnInterruptedCloseKeepsOlderResultsInPlace has an owner end between closing a job, some of whose results an earlier version listed, and
-// saying so in the index, and the store forget its history: the next owner closes the job again by the newest records.
-func TestAnInterruptedCloseKeepsOlderResultsInPlace(t *testing.T) {
+// TestInterruptedCloseKeepsOldKeysInPlace stops an owner after it has closed a job and before it has recorded that in the
+// index. Some of the job's results were listed by an earlier version of the software, and the store then drops all but the
+// newest record of each key. The next owner closes the job again, based on these newest records.
+func TestInterruptedCloseKeepsOldKeysInPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const items, older = 8, 4
 		w := newWorld(t, 2)
-		first, second := w.node("first"), w.node("second")
+		first, second := w.newNode("first"), w.newNode("second")
 		one := spec("one", items)
 		w.submit(one)
 		for position := range older {
-			w.listOlder(one, position, one.Items[older-1-position])
+			w.listOldFormat(one, position, one.Items[older-1-position])
 		}
 		w.store.SetRule(func(call memorylog.Call) memorylog.Fault {
 			if call.Caller == "first" && call.Partition == keyedlog.JobIndex && call.Operation == "append" {
@@ -283,10 +284,10 @@
 		w.store.Forget()
 		second.own(2)
 		time.Sleep(3 * time.Second)
-		// A node that followed the job holds what the store has dropped.
-		later := w.node("later")
+		// The result is read by a new node, since nodes that followed the job still have the records that the store has dropped.
+		later := w.newNode("later")
 		time.Sleep(time.Second)
-		later.checkWhole(one)
+		later.checkComplete(one)
 		for position, result := range later.results("one") {
 			if position < older {
 				is.Equal(result.ItemID, one.Items[older-1-position].ID)
@@ -298,8 +299,8 @@
 	})
 }
 
-// listOlder lists a result as an earlier version does, under a key without padding.
-func (w *world) listOlder(spec job.Spec, position int, item job.Item) {
+// listOldFormat lists a result like an earlier version of the software, with a key without padding.
+func (w *world) listOldFormat(spec job.Spec, position int, item job.Item) {
 	w.test.Helper()
 	records, err := job.EncodeResult(spec.ID, position, job.Result{
 		ItemID: item.ID, Text: strings.Join(memoryengine.Text(item.ID, eventCount), "\n"), Versions: []int64{2}, Score: memoryengine.Stamp,
--- a/internal/jobrun/place.go
+++ b/internal/jobrun/place.go
@@ -14,30 +14,31 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// catalogTimeout bounds one look whether the catalog is the newest: a page of the store, and a read that it holds open.
+// catalogTimeout bounds one check that the catalog is up to date: reading a page from the store, and a read that the store
+// holds open.
 const catalogTimeout = 2 * time.Second
 
-// route returns the item's route, false if the catalog has none that leads anywhere.
+// route returns the item's route, and false if the catalog has no route for it with a target.
 func (e *execution) route() (catalog.Route, bool) {
 	route, ok := e.itemRoute()
 	return route, ok && len(route.Targets) > 0
 }
 
-// itemRoute returns the item's route, also one that leads nowhere.
+// itemRoute returns the item's route, even if it has no targets.
 func (e *execution) itemRoute() (catalog.Route, bool) {
 	return e.match(e.view.Spec.Host, e.item.Path)
 }
 
-// awaitRoute waits until the item's route is known, or that it has ended: it says when the item may be given up.
+// awaitRoute waits until the item's route is known or known to be removed, because the route defines when the item may be
+// abandoned.
 func (e *execution) awaitRoute(ctx context.Context) {
 	for ctx.Err() == nil {
-		if _, found := e.itemRoute(); found || e.ended(ctx, e.itemRoute) {
+		if _, found := e.itemRoute(); found || e.routeRemoved(ctx, e.itemRoute) {
 			return
 		}
 	}
 }
 
-// scorerRoute returns the route of the item's scorer.
 func (e *execution) scorerRoute() (catalog.Route, bool) {
 	return e.match(e.item.Scorer.Host, e.item.Scorer.Path)
 }
@@ -50,23 +51,24 @@
 	return current.Match(host, path)
 }
 
-// ended tells whether the newest catalog has no route of a kind. A process may not have read yet what the job was accepted under, so
-// that it asks the store first; it waits a little where the store does not tell.
-func (e *execution) ended(ctx context.Context, route func() (catalog.Route, bool)) bool {
+// routeRemoved reports whether the newest catalog lacks a route. This process may not have read the catalog under which the job
+// was accepted, so it first confirms with the store that its catalog is up to date. It returns false after a short delay if the
+// store does not confirm it.
+func (e *execution) routeRemoved(ctx context.Context, route func() (catalog.Route, bool)) bool {
 	confirmCtx, cancel := context.WithTimeout(ctx, catalogTimeout)
 	defer cancel()
 	operator := keyedlog.Partition{Topic: keyedlog.TopicOperator}
 	err := follow.Confirm(confirmCtx, e.runner.config.Log, operator, e.runner.config.CatalogFollower)
 	if err != nil {
-		errorlog.Debug(e.runner.config.Logger, "catalog not confirmed", err, "job", e.view.Spec.ID, "item", e.item.ID)
-		pause.For(ctx, retryMost)
+		errorlog.Debug(e.runner.config.Logger, "cannot confirm the catalog, retrying", err, "job", e.view.Spec.ID, "item", e.item.ID)
+		pause.For(ctx, maxRetryBackoff)
 		return false
 	}
 	if _, found := route(); found {
 		return false
 	}
 	if e.runner.config.Catalog.Current() == nil {
-		pause.For(ctx, retryMost)
+		pause.For(ctx, maxRetryBackoff)
 		return false
 	}
 	return true
@@ -75,7 +77,7 @@
 func (e *execution) want(route catalog.Route) fleet.Want {
 	want := fleet.Want{
 		Pool: e.runner.config.Splitter.Pick(route), Regions: e.runner.config.Catalog.Regions(route, e.view.Spec.Tenant), Model: e.view.Spec.Model, MinVersion: e.view.Spec.MinVersion,
-		Zone: e.runner.config.Zone, Affinity: e.item.Group, Share: 1, Exclude: e.exclude, Events: e.left(), Since: e.waitingSince,
+		Zone: e.runner.config.Zone, Affinity: e.item.Group, Share: 1, Exclude: e.exclude, Events: e.expectedEvents(), Since: e.waitingSince,
 	}
 	want.Slack = policy.Slack(e.critical.Value(), e.runner.config.Directory.QuickestPace(want.Pool, want.Model))
 	if route.SingleVersion && len(e.versions) > 0 {
@@ -84,11 +86,12 @@
 	return want
 }
 
-// place returns what the next run needs. Between runs only, a text that no engine can go on with starts anew, and one that has waited
-// for long where engines of other versions may run the item.
-func (e *execution) place(route catalog.Route) fleet.Want {
+// wantForNextRun returns the requirements of the next run. It must be called between runs only, since it may discard the item's
+// text: if no engine serves the version of a text that must not mix versions, or if the item has waited for maxExactVersionWait
+// and engines of other versions are free.
+func (e *execution) wantForNextRun(route catalog.Route) fleet.Want {
 	want := e.want(route)
-	if want.ExactVersion != 0 && (!e.servedAnywhere(want) || e.waitsInVain(want)) {
+	if want.ExactVersion != 0 && (!e.versionServed(want) || e.waitedTooLong(want)) {
 		e.restart()
 		want = e.want(route)
 	}
@@ -98,47 +101,49 @@
 	return want
 }
 
-// acquire waits for an engine, and no longer than what the item wants holds: engines take other versions and routes change.
-func (e *execution) acquire(ctx context.Context, want fleet.Want, yield func()) (*Place, error) {
-	ctx, cancel := context.WithTimeout(ctx, placeAgain)
+// acquire waits for a slot, at most for acquireTimeout, since the item's requirements change with the versions of engines and
+// with routes.
+func (e *execution) acquire(ctx context.Context, want fleet.Want, yield func()) (*Slot, error) {
+	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	return e.runner.config.Queue.Acquire(ctx, e.rankOf(want), want, yield)
 }
 
-// rankOf returns the item's rank as of now.
+// rankOf returns the item's current rank.
 func (e *execution) rankOf(want fleet.Want) Rank {
 	rank := e.rank
-	rank.MayHold = policy.MayHold(want.Events, e.critical.Value())
-	rank.Yielded = int(e.yielded.Load())
+	rank.MayBeCritical = policy.MayHold(want.Events, e.critical.Value())
+	rank.Yields = int(e.yields.Load())
 	rank.LatestStart = policy.LatestStart(e.view.AcceptedAt, want.Events, e.runner.config.Directory.TypicalPace(want.Pool))
 	return rank
 }
 
-// left is how many events are expected to come of the item, 0 if nothing is known of such items.
-func (e *execution) left() float64 {
-	return e.runner.left(e.item.LengthHint, len(e.events))
+// expectedEvents returns the expected number of further events of the item, or 0 if nothing is known about such items.
+func (e *execution) expectedEvents() float64 {
+	return e.runner.expectedEvents(e.item.LengthHint, len(e.events))
 }
 
-// remaining returns how many events are expected to come of the item, 0 once its text is whole or it is given up. Any goroutine may call
-// it.
+// remaining returns the expected number of further events of the item, and 0 once its text is complete or it is abandoned. It
+// is safe to call from any goroutine.
 func (e *execution) remaining() float64 {
 	e.mutex.Lock()
-	made, over := len(e.events), e.whole || e.settled
+	made, done := len(e.events), e.complete || e.finished
 	e.mutex.Unlock()
-	if over {
+	if done {
 		return 0
 	}
-	return e.runner.left(e.item.LengthHint, made)
+	return e.runner.expectedEvents(e.item.LengthHint, made)
 }
 
-// waitsInVain tells whether an item that wants one version has waited for long, and an engine of another version has room for it.
-func (e *execution) waitsInVain(want fleet.Want) bool {
-	if time.Since(e.waitingSince) < exactMost {
+// waitedTooLong reports whether an item that requires one version has waited for maxExactVersionWait while an engine of another
+// version has free capacity.
+func (e *execution) waitedTooLong(want fleet.Want) bool {
+	if time.Since(e.waitingSince) < maxExactVersionWait {
 		return false
 	}
 	directory := e.runner.config.Directory
 	others := want
-	// Nothing is sent by this, so that it is no trial.
+	// Nothing is sent here, so this must not count as the trial of an ejected engine.
 	others.ExactVersion, others.Exclude, others.NoTrial = 0, nil, true
 	for _, engine := range directory.Pool(want.Pool) {
 		if engine.Serves(want.Model) == want.ExactVersion {
@@ -148,8 +153,8 @@
 	return directory.HasRoom(others)
 }
 
-// servedAnywhere tells whether an engine serves the wanted version, tried or not, loading or not.
-func (e *execution) servedAnywhere(want fleet.Want) bool {
+// versionServed reports whether an engine serves the required version, even if it is excluded or loading.
+func (e *execution) versionServed(want fleet.Want) bool {
 	for _, engine := range e.runner.config.Directory.Pool(want.Pool) {
 		if !engine.Draining && engine.Serves(want.Model) == want.ExactVersion {
 			return true
@@ -158,13 +163,13 @@
 	return false
 }
 
-// restart forgets the item's events. It must not be called while a run is under way.
+// restart discards the item's events. It must not be called during a run.
 func (e *execution) restart() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.runner.config.Logger.Info("item starts anew, no engine of its version takes it", "job", e.view.Spec.ID, "item", e.item.ID,
 		"events", len(e.events), "versions", e.versions)
-	e.events, e.versions, e.kept, e.line = nil, nil, 0, 0
+	e.events, e.versions, e.checkpointed, e.line = nil, nil, 0, 0
 }
 
 func header(fields map[string]string) http.Header {
--- a/internal/jobrun/progress.go
+++ b/internal/jobrun/progress.go
@@ -9,21 +9,24 @@
 	"github.com/hillfork/hillfork/internal/job"
 )
 
-// takeOver makes progress the item's own. What follows is a line of its own: whoever made the progress may go on with its line.
-func (e *execution) takeOver(progress *job.Progress) {
+// setProgress replaces the item's events by progress of another run. Its checkpoints start a new line, since the run that
+// produced the progress may still append to the old one.
+func (e *execution) setProgress(progress *job.Progress) {
 	e.events = slices.Clone(progress.Events)
 	e.versions = slices.Clone(progress.Versions)
 	e.failures = max(e.failures, progress.Failures)
-	e.whole, e.score = progress.Whole, progress.Score
-	e.kept = len(e.events)
+	e.complete, e.score = progress.Whole, progress.Score
+	e.checkpointed = len(e.events)
 	e.line = 0
 }
 
-// adopt takes progress of another owner over, if it is further than the item's own.
-func (e *execution) adopt(progress *job.Progress) {
+// offerProgress hands the item progress of another owner, and interrupts the current run if the item uses it. Progress is
+// ignored if the item is complete or finished, if the progress is neither complete nor longer than the item's own, or if the
+// job does not allow its versions.
+func (e *execution) offerProgress(progress *job.Progress) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.settled || e.whole || !fits(progress.Versions, e.view.Spec.MinVersion) {
+	if e.finished || e.complete || !versionsAllowed(progress.Versions, e.view.Spec.MinVersion) {
 		return
 	}
 	if !progress.Whole && len(progress.Events) <= len(e.events) {
@@ -35,18 +38,18 @@
 	}
 }
 
-// takePending takes over what was adopted, and tells whether the text is whole.
-func (e *execution) takePending() bool {
+// applyPending applies the progress that offerProgress left, and reports whether the text is complete.
+func (e *execution) applyPending() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.pending != nil {
-		e.takeOver(e.pending)
+		e.setProgress(e.pending)
 		e.pending = nil
 	}
-	return e.whole
+	return e.complete
 }
 
-// interruptible returns a context that adopt can end.
+// interruptible returns a context that offerProgress can cancel.
 func (e *execution) interruptible(ctx context.Context) (context.Context, context.CancelFunc) {
 	runCtx, cancel := context.WithCancel(ctx)
 	e.mutex.Lock()
@@ -58,57 +61,58 @@
 	return runCtx, cancel
 }
 
-func fits(versions []int64, least int64) bool {
+func versionsAllowed(versions []int64, minVersion int64) bool {
 	for _, version := range versions {
-		if version < least {
+		if version < minVersion {
 			return false
 		}
 	}
 	return true
 }
 
-func (e *execution) settle() {
+func (e *execution) markFinished() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.settled = true
+	e.finished = true
 }
 
-// progress returns the item's whole text as far as it has come, and whether the store has less of it.
+// progress returns the item's text so far, and reports whether the store lacks a part of it.
 func (e *execution) progress() (job.Progress, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.since(0), len(e.events) > e.kept || e.whole
+	return e.progressFrom(0), len(e.events) > e.checkpointed || e.complete
 }
 
-// checkpoint returns what the item has come further since the last checkpoint, which piece of its line that is, and whether it
-// is worth keeping. An item that is about to be listed is not, nor one of few events.
+// checkpoint returns the events since the last checkpoint, the index of this piece in its line, and whether the piece should be
+// stored. It should not if the item is about to be listed or has produced few events.
 func (e *execution) checkpoint() (job.Progress, int, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.settled || e.whole || len(e.events) < checkpointEvents || len(e.events) < e.kept+pieceEvents {
+	if e.finished || e.complete || len(e.events) < minCheckpointEvents || len(e.events) < e.checkpointed+minPieceEvents {
 		return job.Progress{}, 0, false
 	}
 	if e.line == 0 {
 		e.line = 1 + rand.Uint64N(math.MaxUint64)
-		e.kept, e.pieces = 0, 0
+		e.checkpointed, e.pieces = 0, 0
 	}
-	progress, piece := e.since(e.kept), e.pieces
-	e.kept = len(e.events)
+	progress, piece := e.progressFrom(e.checkpointed), e.pieces
+	e.checkpointed = len(e.events)
 	e.pieces++
 	return progress, piece, true
 }
 
-// since returns the item's progress without its first events.
-func (e *execution) since(from int) job.Progress {
+// progressFrom returns the item's progress without its first events.
+func (e *execution) progressFrom(from int) job.Progress {
 	return job.Progress{
 		ItemID: e.item.ID, Events: slices.Clone(e.events[from:]), Versions: slices.Clone(e.versions), Failures: e.failures,
-		Whole: e.whole, Score: e.score, Line: e.line, From: from,
+		Whole: e.complete, Score: e.score, Line: e.line, From: from,
 	}
 }
 
 const (
-	// checkpointEvents is how many events a first checkpoint holds at least: shorter items run again as quickly.
-	checkpointEvents = 12
-	// pieceEvents is how many events a later one holds at least, so that events outweigh what a record takes besides.
-	pieceEvents = 4
+	// minCheckpointEvents is the minimum number of events in the first checkpoint: running a shorter item again is as fast as
+	// restoring it.
+	minCheckpointEvents = 12
+	// minPieceEvents is the minimum number of events in later checkpoints, so that events outweigh the overhead of a record.
+	minPieceEvents = 4
 )
--- a/internal/jobrun/quarantine_test.go
+++ b/internal/jobrun/quarantine_test.go
@@ -13,43 +13,44 @@
 	"github.com/matryer/is"
 )
 
-// engineBack is how long an engine that crashed is away.
-const engineBack = time.Second
+// restartTime is how long an engine is away after a crash.
+const restartTime = time.Second
 
-// crashPrompt is the body of an item that crashes each engine that runs it.
 const crashPrompt = "crash"
 
-// reviveModels has every model engine crash under the prompt, and brings each that ended back under a new id, for a while.
-func (w *world) reviveModels(n *node, duration time.Duration) {
+// crashAndReplaceModels makes every model engine crash when it runs crashPrompt, and replaces each crashed engine by one with a
+// new ID, for the given duration.
+func (w *world) crashAndReplaceModels(n *node, duration time.Duration) {
 	behaviour := memoryengine.Behaviour{
 		Pace: pace, Crashes: func(call engineapi.Call) bool { return string(call.Body) == crashPrompt },
 	}
 	for _, model := range w.models {
 		w.engines.Behave(model.ID, behaviour)
 	}
-	living := append([]fleet.Engine(nil), w.models...)
-	for passed := time.Duration(0); passed < duration; passed += engineBack {
-		time.Sleep(engineBack)
-		for i, engine := range living {
+	current := append([]fleet.Engine(nil), w.models...)
+	for passed := time.Duration(0); passed < duration; passed += restartTime {
+		time.Sleep(restartTime)
+		for i, engine := range current {
 			if !w.engines.Ended(w.ctx, engine) {
 				continue
 			}
 			n.directory.Remove(engine.ID)
 			engine.ID = fmt.Sprintf("back%d-%s", i, passed)
-			living[i] = engine
+			current[i] = engine
 			w.engines.Add(engine, behaviour)
 			n.directory.Upsert(engine)
 		}
 	}
 }
 
-// TestAnItemThatCrashesEnginesIsWithheld has one item of a job crash every engine that runs it. It may reach as many engines as it takes
-// to withhold it and one for each trial; it is given up in its time and not before, and the others are listed whole.
-func TestAnItemThatCrashesEnginesIsWithheld(t *testing.T) {
+// TestCrashingItemIsWithheld makes one item of a job crash every engine that runs it. It may reach as many engines as are
+// needed to withhold it, and one for each trial. It must be abandoned at its deadline and not before, and the other items must
+// be complete.
+func TestCrashingItemIsWithheld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, 4)
-		owner := w.node("owner")
+		owner := w.newNode("owner")
 		owner.own(1)
 		one := spec("one", 10)
 		for i := range one.Items {
@@ -61,7 +62,7 @@
 			time.Sleep(time.Millisecond)
 			w.submit(one)
 		}()
-		w.reviveModels(owner, maxWait+2*time.Second)
+		w.crashAndReplaceModels(owner, maxWait+2*time.Second)
 		runs := 0
 		for _, run := range w.engines.Runs() {
 			if run.RequestID == one.Items[3].ID {
@@ -70,25 +71,25 @@
 		}
 		is.True(runs >= policy.ItemStrikes)
 		is.True(runs <= policy.ItemStrikes+2)
-		whole := 0
+		completed := 0
 		for _, result := range owner.results(one.ID) {
 			is.Equal(result.Dead, result.ItemID == one.Items[3].ID)
 			if !result.Dead {
-				whole++
+				completed++
 			}
 		}
-		is.Equal(whole, len(one.Items)-1)
+		is.Equal(completed, len(one.Items)-1)
 		is.True(time.Since(submitted) > maxWait)
 		owner.release()
 	})
 }
 
-// TestCallsOfOneContentGoOnOnceCleared has the scorers end under calls that all ask the same, three of them at once by chance, so that the calls
-// are withheld. Once a trial was answered, none of the others waits for the next trial.
-func TestCallsOfOneContentGoOnOnceCleared(t *testing.T) {
+// TestCallsContinueOnceContentIsCleared ends the scorers during calls with equal content, three at once by coincidence, so that
+// the calls are withheld. Once a trial has been answered, the other calls must not wait for the next trial.
+func TestCallsContinueOnceContentIsCleared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 4)
-		owner := w.node("owner")
+		owner := w.newNode("owner")
 		third := fleet.Engine{ID: "scorer2", Pool: "scorers", Slots: 4}
 		w.scorers = append(w.scorers, third)
 		w.engines.Add(third, memoryengine.Behaviour{Work: pace})
@@ -108,18 +109,18 @@
 			w.engines.Behave(scorer.ID, memoryengine.Behaviour{Work: pace})
 		}
 		time.Sleep(5 * time.Second)
-		owner.checkWhole(one)
+		owner.checkComplete(one)
 		owner.release()
 	})
 }
 
-// TestAnItemThatWasTurnedAwayAtItsTrialIsTriedAgain has three engines end under an item by chance. The engine that it goes to for its trial
-// turns it away for a moment, as one that is full does: the trial counted as made, and the item stood at no engine for the ten minutes
-// before the next one.
-func TestAnItemThatWasTurnedAwayAtItsTrialIsTriedAgain(t *testing.T) {
+// TestTrialRejectedByEngineIsRepeated ends three engines during runs of one item by coincidence. The engine that gets the item
+// for its trial rejects it for a moment, like one that is full. That trial used to count as made, and the item ran on no engine
+// for the ten minutes until the next trial.
+func TestTrialRejectedByEngineIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 4)
-		owner := w.node("owner")
+		owner := w.newNode("owner")
 		owner.own(1)
 		time.Sleep(time.Second)
 		one := spec("one", 1)
@@ -135,7 +136,7 @@
 		time.Sleep(4500 * time.Millisecond)
 		w.engines.Behave(last, memoryengine.Behaviour{Pace: pace})
 		time.Sleep(3 * time.Second)
-		owner.checkWhole(one)
+		owner.checkComplete(one)
 		owner.release()
 	})
 }
--- a/internal/jobrun/queue.go
+++ b/internal/jobrun/queue.go
@@ -1,6 +1,6 @@
-// Package jobrun runs the items of the batch jobs whose partition this process owns: it waits for engines, runs each item,
-// goes on elsewhere when a run breaks, has the text scored and lists the result. Listing is fenced by the epoch of the
-// ownership, so that a superseded owner lists nothing.
+// Package jobrun runs the items of the batch jobs whose partitions this process owns. It waits for a free engine, runs each
+// item, continues on another engine when a run breaks off, requests the score of the text and lists the result. Listing is
+// fenced by the epoch of the partition's owner, so that a superseded owner lists nothing.
 package jobrun
 
 import (
@@ -13,18 +13,19 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// Rank orders items that wait for an engine.
+// Rank is the priority of an item that waits for an engine.
 type Rank struct {
-	// LatestStart is the time of the job's acceptance less what is left of the item; the earliest goes first.
+	// LatestStart is the time of the job's acceptance minus the expected remaining run time of the item; the earliest is assigned
+	// first.
 	LatestStart time.Time
-	// Carried says that the item's group was handed in before and was not whole; the trainer waits for it.
+	// Carried reports that the item's group was submitted before and was not complete; the trainer waits for it.
 	Carried bool
-	// Length is the estimated output; longer items go first.
+	// Length is the estimated output length in tokens; longer items are assigned first.
 	Length int
-	// MayHold says that the item may be the one that holds its job.
-	MayHold bool
-	// Yielded is how often the item has given its place up.
-	Yielded int
+	// MayBeCritical reports that the item may be the last of its job to complete.
+	MayBeCritical bool
+	// Yields is how often the item has given its slot up.
+	Yields int
 }
 
 func (r Rank) before(other Rank) bool {
@@ -38,73 +39,73 @@
 	}
 }
 
-// Queue gives engines to items in order of their rank. It is safe for concurrent use.
+// Queue assigns engine slots to items in the order of their rank. It is safe for concurrent use.
 type Queue struct {
 	directory *fleet.Directory
 
-	mutex   sync.Mutex
-	waiting waitHeap
-	places  map[*Place]struct{}
-	arrived chan struct{}
-	counter int
+	mutex    sync.Mutex
+	waiting  waitHeap
+	slots    map[*Slot]struct{}
+	wakeup   chan struct{}
+	sequence int
 }
 
-// Place is an item's place at an engine. Release must follow.
-type Place struct {
+// Slot is an engine slot that an item holds. The holder must call Release.
+type Slot struct {
 	Engine fleet.Engine
 
-	queue *Queue
-	rank  Rank
-	taken time.Time
-	// yield asks the item to give the place up, nil if it must not; asked says that it was.
-	yield func()
-	asked bool
-	// reservation gets the place once it is released, nil if any item may.
+	queue      *Queue
+	rank       Rank
+	acquiredAt time.Time
+	// yield requests the item to give the slot up, nil if the item must keep it; yieldRequested reports that yield was called.
+	yield          func()
+	yieldRequested bool
+	// reservation receives the slot once it is released, nil if it is free for any item.
 	reservation *Reservation
 }
 
-// Release gives the place back, or to its reservation. It does nothing the second time.
-func (p *Place) Release() {
-	p.queue.mutex.Lock()
-	_, held := p.queue.places[p]
-	delete(p.queue.places, p)
-	passedOn := held && p.reservation != nil && !p.reservation.dropped
-	if passedOn {
-		p.reservation.given <- p.queue.take(p.Engine, p.reservation.rank, nil)
+// Release returns the slot to the directory, or hands it over to its reservation. Further calls have no effect.
+func (s *Slot) Release() {
+	s.queue.mutex.Lock()
+	_, held := s.queue.slots[s]
+	delete(s.queue.slots, s)
+	handedOver := held && s.reservation != nil && !s.reservation.dropped
+	if handedOver {
+		s.reservation.handover <- s.queue.addSlot(s.Engine, s.reservation.rank, nil)
 	}
-	p.queue.mutex.Unlock()
-	if held && !passedOn {
-		p.queue.directory.Release(p.Engine.ID)
+	s.queue.mutex.Unlock()
+	if held && !handedOver {
+		s.queue.directory.Release(s.Engine.ID)
 	}
 }
 
-// Reservation is the claim of an item that runs to a place at a better engine, which another run gives up. Drop must follow.
+// Reservation is the claim of a running item to a slot at a better engine that another run gives up. The holder must call Drop.
 type Reservation struct {
 	queue *Queue
 	rank  Rank
-	// given holds the place once the other run has released it.
-	given chan *Place
+	// handover receives the slot once the other run has released it.
+	handover chan *Slot
 	// dropped is guarded by the queue's mutex.
 	dropped bool
 }
 
-// Take returns the place once it is there, nil before.
-func (r *Reservation) Take() *Place {
+// Take returns the slot if it was handed over, otherwise nil.
+func (r *Reservation) Take() *Slot {
 	select {
-	case place := <-r.given:
-		return place
+	case slot := <-r.handover:
+		return slot
 	default:
 		return nil
 	}
 }
 
-// Drop gives the place back unless it was taken.
+// Drop gives the claim up and releases the slot if it was handed over but not taken.
 func (r *Reservation) Drop() {
 	r.queue.mutex.Lock()
 	r.dropped = true
 	r.queue.mutex.Unlock()
-	if place := r.Take(); place != nil {
-		place.Release()
+	if slot := r.Take(); slot != nil {
+		slot.Release()
 	}
 }
 
@@ -112,36 +113,37 @@
 	rank  Rank
 	want  fleet.Want
 	yield func()
-	// number keeps the order of arrival among equals.
-	number int
-	place  int
-	given  chan *Place
+	// sequence orders waiters of equal rank by arrival.
+	sequence  int
+	heapIndex int
+	granted   chan *Slot
 }
 
-// NewQueue returns a queue; Run serves it.
+// NewQueue returns a queue. It assigns slots while Run is running.
 func NewQueue(directory *fleet.Directory) *Queue {
-	return &Queue{directory: directory, places: make(map[*Place]struct{}), arrived: make(chan struct{}, 1)}
+	return &Queue{directory: directory, slots: make(map[*Slot]struct{}), wakeup: make(chan struct{}, 1)}
 }
 
-// refresh is how often waiting items are looked at when nothing is known to have changed: avoidance and loading end by time.
-const refresh = 50 * time.Millisecond
+// refreshInterval is how often slots are assigned when no change is known, since backoff and loading of engines end by time
+// alone.
+const refreshInterval = 50 * time.Millisecond
 
-// Run serves the queue until the context ends.
+// Run assigns slots until the context ends.
 func (q *Queue) Run(ctx context.Context) {
-	timer := time.NewTimer(refresh)
+	timer := time.NewTimer(refreshInterval)
 	defer timer.Stop()
 	for ctx.Err() == nil {
 		changed := q.directory.Changed()
-		if q.serve() == 0 {
+		if q.assignSlots() == 0 {
 			select {
-			case <-q.arrived:
+			case <-q.wakeup:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		timer.Reset(refresh)
+		timer.Reset(refreshInterval)
 		select {
-		case <-q.arrived:
+		case <-q.wakeup:
 		case <-changed:
 		case <-timer.C:
 		case <-ctx.Done():
@@ -149,8 +151,8 @@
 	}
 }
 
-// serve gives engines to as many items as there is room for, and returns how many still wait.
-func (q *Queue) serve() int {
+// assignSlots assigns slots to as many waiting items as free capacity allows, and returns how many still wait.
+func (q *Queue) assignSlots() int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	ordered := make([]*waiter, 0, q.waiting.Len())
@@ -160,124 +162,128 @@
 		ordered = append(ordered, next)
 		wants = append(wants, next.want)
 	}
-	var kept []*waiter
+	var unassigned []*waiter
 	for i, engine := range q.directory.Assign(wants) {
 		if engine.ID != "" {
-			ordered[i].given <- q.take(engine, ordered[i].rank, ordered[i].yield)
+			ordered[i].granted <- q.addSlot(engine, ordered[i].rank, ordered[i].yield)
 			continue
 		}
 		heap.Push(&q.waiting, ordered[i])
-		kept = append(kept, ordered[i])
+		unassigned = append(unassigned, ordered[i])
 	}
-	q.makeRoom(kept)
-	return len(kept)
+	q.requestYields(unassigned)
+	return len(unassigned)
 }
 
-// take notes a place that was acquired in the directory. The mutex must be held.
-func (q *Queue) take(engine fleet.Engine, rank Rank, yield func()) *Place {
-	place := &Place{Engine: engine, queue: q, rank: rank, taken: time.Now(), yield: yield}
-	q.places[place] = struct{}{}
-	return place
+// addSlot records a slot that was acquired in the directory. The mutex must be held.
+func (q *Queue) addSlot(engine fleet.Engine, rank Rank, yield func()) *Slot {
+	slot := &Slot{Engine: engine, queue: q, rank: rank, acquiredAt: time.Now(), yield: yield}
+	q.slots[slot] = struct{}{}
+	return slot
 }
 
-// Held returns how many places items hold, by engine.
+// Held returns the number of slots that items hold, by engine ID.
 func (q *Queue) Held() map[string]int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	held := make(map[string]int)
-	for place := range q.places {
-		held[place.Engine.ID]++
+	for slot := range q.slots {
+		held[slot.Engine.ID]++
 	}
 	return held
 }
 
-// makeRoom asks runs that can wait to give their places up to items that can't, given in order of their rank. A place that is
-// being given up is for the first of them.
-func (q *Queue) makeRoom(waiting []*waiter) {
-	coming := 0
-	for place := range q.places {
-		if place.asked && place.reservation == nil {
-			coming++
+// requestYields requests runs that can wait to give their slots up to items that can't, which are passed in the order of their
+// rank. Slots that are already being given up are counted for the first of these items. The mutex must be held.
+func (q *Queue) requestYields(waiting []*waiter) {
+	pendingYields := 0
+	for slot := range q.slots {
+		if slot.yieldRequested && slot.reservation == nil {
+			pendingYields++
 		}
 	}
 	for _, next := range waiting {
-		if coming > 0 {
-			coming--
+		if pendingYields > 0 {
+			pendingYields--
 			continue
 		}
-		place := q.leastUrgent(next)
-		if place == nil {
+		slot := q.leastUrgentFor(next)
+		if slot == nil {
 			return
 		}
-		place.asked = true
-		place.yield()
+		slot.yieldRequested = true
+		slot.yield()
 	}
 }
 
-// leastUrgent returns the place of the run that can wait longest among those that yield to a waiting item, nil if there is none.
-func (q *Queue) leastUrgent(next *waiter) *Place {
-	if !next.rank.MayHold {
+// leastUrgentFor returns the slot of the run that can wait longest among those that yield to a waiting item, nil if there is
+// none.
+func (q *Queue) leastUrgentFor(next *waiter) *Slot {
+	if !next.rank.MayBeCritical {
 		return nil
 	}
 	return q.leastUrgentAt(q.directory.Suitable(next.want), next.rank)
 }
 
-// leastUrgentAt returns the place, at one of some engines, of the run that can wait longest of those that yield to an item of a rank.
-func (q *Queue) leastUrgentAt(engines map[string]bool, rank Rank) *Place {
+// leastUrgentAt returns the slot of the run that can wait longest among those at the given engines that yield to an item of the
+// given rank, nil if there is none.
+func (q *Queue) leastUrgentAt(engines map[string]bool, rank Rank) *Slot {
 	now := time.Now()
-	var found *Place
+	var found *Slot
 	var latest time.Time
-	for place := range q.places {
-		if place.asked || place.yield == nil || !engines[place.Engine.ID] {
+	for slot := range q.slots {
+		if slot.yieldRequested || slot.yield == nil || !engines[slot.Engine.ID] {
 			continue
 		}
-		// A run's latest start moves on with what comes of it.
-		start := place.rank.LatestStart.Add(now.Sub(place.taken))
-		if policy.Yields(start, rank.LatestStart, place.rank.Yielded) && (found == nil || start.After(latest)) {
-			found, latest = place, start
+		// A run's latest start advances with the events it has produced since.
+		start := slot.rank.LatestStart.Add(now.Sub(slot.acquiredAt))
+		if policy.Yields(start, rank.LatestStart, slot.rank.Yields) && (found == nil || start.After(latest)) {
+			found, latest = slot, start
 		}
 	}
 	return found
 }
 
-// Acquire waits for an engine. yield is called when the item should give its place up, at any moment until it releases it.
-func (q *Queue) Acquire(ctx context.Context, rank Rank, want fleet.Want, yield func()) (*Place, error) {
-	next := &waiter{rank: rank, want: want, yield: yield, given: make(chan *Place, 1)}
+// Acquire waits for a slot. yield is called when the item should give the slot up, at any time until the slot is released.
+func (q *Queue) Acquire(ctx context.Context, rank Rank, want fleet.Want, yield func()) (*Slot, error) {
+	next := &waiter{rank: rank, want: want, yield: yield, granted: make(chan *Slot, 1)}
 	q.mutex.Lock()
-	q.counter++
-	next.number = q.counter
+	q.sequence++
+	next.sequence = q.sequence
 	heap.Push(&q.waiting, next)
 	q.mutex.Unlock()
 	select {
-	case q.arrived <- struct{}{}:
+	case q.wakeup <- struct{}{}:
 	default:
 	}
 	select {
-	case place := <-next.given:
-		return place, nil
+	case slot := <-next.granted:
+		return slot, nil
 	case <-ctx.Done():
-		if place := q.withdraw(next); place != nil {
-			return place, nil
+		if slot := q.withdraw(next); slot != nil {
+			return slot, nil
 		}
 		return nil, ctx.Err()
 	}
 }
 
-// AcquireBetter returns a place at an engine to which work that runs elsewhere is worth moving, nil if there is none.
-func (q *Queue) AcquireBetter(current string, rank Rank, want fleet.Want) *Place {
+// AcquireBetter returns a slot at an engine to which it is worth moving work that runs on the current one, nil if there is
+// none.
+func (q *Queue) AcquireBetter(current string, rank Rank, want fleet.Want) *Slot {
 	engine, found := q.directory.AcquireBetter(current, want)
 	if !found {
 		return nil
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.take(engine, rank, nil)
+	return q.addSlot(engine, rank, nil)
 }
 
-// Reserve asks a run that can wait to give its place up to an item that may hold its step and runs at a slower engine. It returns nil if
-// there is no such run. Without a reservation the place would go to an item that waits: freed places are taken at once.
+// Reserve requests a run that can wait to give its slot up to an item that may be the last of its step and runs at a slower
+// engine. It returns nil if there is no such run. Without the reservation the slot would be assigned to a waiting item as soon
+// as it is free.
 func (q *Queue) Reserve(current string, rank Rank, want fleet.Want) *Reservation {
-	if !rank.MayHold {
+	if !rank.MayBeCritical {
 		return nil
 	}
 	better := q.directory.Better(current, want)
@@ -286,33 +292,34 @@
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	place := q.leastUrgentAt(better, rank)
-	if place == nil {
+	slot := q.leastUrgentAt(better, rank)
+	if slot == nil {
 		return nil
 	}
-	place.asked = true
-	place.reservation = &Reservation{queue: q, rank: rank, given: make(chan *Place, 1)}
-	place.yield()
-	return place.reservation
+	slot.yieldRequested = true
+	slot.reservation = &Reservation{queue: q, rank: rank, handover: make(chan *Slot, 1)}
+	slot.yield()
+	return slot.reservation
 }
 
-// withdraw takes a waiter out, and returns the place that it has been given meanwhile, nil if none: given back unused, one at an engine on trial
-// would keep others away as a trial without a word does.
-func (q *Queue) withdraw(next *waiter) *Place {
+// withdraw removes a waiter, and returns the slot that was assigned to it in the meantime, nil if none was. Such a slot must be
+// used: if the engine is on trial after an ejection, releasing the slot unused would block other items until the trial times
+// out.
+func (q *Queue) withdraw(next *waiter) *Slot {
 	q.mutex.Lock()
-	if next.place >= 0 && next.place < q.waiting.Len() && q.waiting[next.place] == next {
-		heap.Remove(&q.waiting, next.place)
+	if next.heapIndex >= 0 && next.heapIndex < q.waiting.Len() && q.waiting[next.heapIndex] == next {
+		heap.Remove(&q.waiting, next.heapIndex)
 	}
 	q.mutex.Unlock()
 	select {
-	case place := <-next.given:
-		return place
+	case slot := <-next.granted:
+		return slot
 	default:
 		return nil
 	}
 }
 
-// waitHeap is a heap of waiters by rank.
+// waitHeap is a heap of waiters, ordered by rank and then by arrival.
 type waitHeap []*waiter
 
 func (h waitHeap) Len() int { return len(h) }
@@ -320,26 +327,26 @@
 	if h[i].rank.before(h[j].rank) {
 		return true
 	}
-	return !h[j].rank.before(h[i].rank) && h[i].number < h[j].number
+	return !h[j].rank.before(h[i].rank) && h[i].sequence < h[j].sequence
 }
 
 func (h waitHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-// Push adds a waiter.
+// Push implements heap.Interface.
 func (h *waitHeap) Push(x any) {
 	next := x.(*waiter)
-	next.place = len(*h)
+	next.heapIndex = len(*h)
 	*h = append(*h, next)
 }
 
-// Pop takes the last waiter.
+// Pop implements heap.Interface.
 func (h *waitHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
-	last.place = -1
+	last.heapIndex = -1
 	return last
 }
--- a/internal/jobrun/runner.go
+++ b/internal/jobrun/runner.go
@@ -23,13 +23,13 @@
 	"github.com/hillfork/hillfork/internal/quarantine"
 )
 
-// Limits bounds records and appends, in bytes.
+// Limits bounds the size of records and of append calls, in bytes.
 type Limits struct {
 	RecordBytes int
 	CallBytes   int
 }
 
-// Follower tells how far a partition was read.
+// Follower waits until a partition has been read up to an offset.
 type Follower interface {
 	WaitFor(ctx context.Context, end int64) error
 }
@@ -37,10 +37,10 @@
 // Config configures the runners of a process.
 type Config struct {
 	Log keyedlog.Log
-	// Index tells which jobs there are; IndexFollower keeps it in step.
+	// Index holds the known jobs; IndexFollower updates it.
 	Index         *job.Index
 	IndexFollower Follower
-	// Catalog is what the operator has configured; CatalogFollower keeps it in step.
+	// Catalog holds the operator's configuration; CatalogFollower updates it.
 	Catalog         *catalog.Holder
 	CatalogFollower Follower
 	Splitter        *catalog.Splitter
@@ -48,27 +48,27 @@
 	Queue           *Queue
 	Client          engineapi.Client
 	Forwarder       *forward.Forwarder
-	// Quarantine watches items whose engines end, nil for none.
+	// Quarantine withholds items that crash engines, nil for none.
 	Quarantine *quarantine.Quarantine
 	Zone       string
 	Limits     Limits
-	// Retention is how long a job is kept after it was submitted.
+	// Retention is how long a job is kept after its submission.
 	Retention time.Duration
 	Measures  *Measures
 	Logger    *log.Logger
 }
 
-// Holder starts the runner of a partition; it implements ownership.Holder for job partitions.
+// Holder starts the runners of job partitions. It implements ownership.Holder.
 type Holder struct {
 	config Config
 }
 
-// NewHolder returns a holder.
+// NewHolder returns a Holder that starts runners with the given configuration.
 func NewHolder(config Config) *Holder {
 	return &Holder{config: config}
 }
 
-// Gained starts running the items of a partition that was dealt under a generation.
+// Gained starts a runner for a partition that was assigned to this process with the given generation.
 func (h *Holder) Gained(ctx context.Context, partition keyedlog.Partition, generation int64) ownership.Work {
 	runCtx, cancel := context.WithCancel(ctx)
 	runner := &runner{
@@ -76,8 +76,8 @@
 		writer: newWriter(fencing.New(fencing.Config{
 			Log: h.config.Log, Partition: partition, Name: writerName, Generation: generation, Logger: h.config.Logger,
 		}), h.config.Limits, h.config.Logger),
-		jobs: make(map[string]*runningJob), settling: make(map[string]bool), leftovers: make(map[string]*job.Progress),
-		took: make(map[string]job.Took),
+		jobs: make(map[string]*runningJob), settling: make(map[string]bool), partialTexts: make(map[string]*job.Progress),
+		engineUsage: make(map[string]job.Took),
 	}
 	runner.active.Add(1)
 	go func() {
@@ -87,57 +87,60 @@
 	return runner
 }
 
-// runner runs the items of one partition while this process owns it.
+// runner runs the items of one partition while this process owns it. It implements ownership.Work.
 type runner struct {
 	config    Config
 	partition keyedlog.Partition
 	writer    *writer
 	cancel    context.CancelFunc
 	active    sync.WaitGroup
-	// ledger holds the partition from the offset covered on. Only the goroutine of run touches covered and settling.
+	// ledger holds the records of the partition from the offset readFrom on. readFrom and settling are accessed by the goroutine
+	// of run only.
 	ledger   *job.Ledger
-	covered  int64
+	readFrom int64
 	settling map[string]bool
-	// expiring is set while expired jobs are being dropped.
+	// expiring is set while dropExpired is running.
 	expiring atomic.Bool
 
-	// lengths learns how long the partition's items are.
+	// lengths estimates the lengths of the partition's items. It is guarded by lengthMutex.
 	lengthMutex sync.Mutex
 	lengths     policy.Lengths
 
-	mutex    sync.Mutex
-	jobs     map[string]*runningJob
-	released bool
-	// leftovers holds the text of items of ended jobs that were not listed.
-	leftovers map[string]*job.Progress
-	// took is what ended jobs took of engines that are not settled yet.
-	took map[string]job.Took
+	mutex   sync.Mutex
+	jobs    map[string]*runningJob
+	stopped bool
+	// partialTexts holds the incomplete texts of items of ended jobs, by item ID.
+	partialTexts map[string]*job.Progress
+	// engineUsage holds the engine time that ended jobs have used, by job ID, until they are settled.
+	engineUsage map[string]job.Took
 }
 
 type runningJob struct {
 	cancel context.CancelFunc
 	spec   *job.Spec
 	items  map[string]*execution
-	// carried holds the groups that the trainer waits for whatever others are whole.
+	// carried holds the groups that the trainer waits for, no matter which others are complete.
 	carried  map[string]bool
 	critical *criticalEvents
-	// progressed is how much progress of the job has been looked at.
-	progressed int
-	// whole says that this process has run all items of the job from their beginning.
-	whole bool
+	// progressSeen is the job's progress count at the last time that progress was offered to its items.
+	progressSeen int
+	// ranFromStart reports that this process has run all items of the job from their beginning.
+	ranFromStart bool
 }
 
 const (
-	// scanLeast is the least time between two looks at all open jobs.
-	scanLeast = 5 * time.Millisecond
-	// checkpointEvery is how often the events of long items are kept for the next owner, and the critical events of jobs are updated. It
-	// bounds what an owner's death costs a step of a few seconds. Items of one partition are kept by one append.
-	checkpointEvery = 250 * time.Millisecond
-	// keepTimeout bounds the keeping of progress when the partition was lost.
-	keepTimeout = time.Second
-	// expireEvery is how often jobs that are past their retention are dropped, expireSlack how long after it.
-	expireEvery = 10 * time.Second
-	expireSlack = 30 * time.Second
+	// minScanInterval is the minimum time between two scans of all open jobs.
+	minScanInterval = 5 * time.Millisecond
+	// checkpointInterval is how often the events of long items are stored for the next owner, and the critical events of jobs are
+	// updated. It bounds the work that is lost when an owner fails, which matters for steps of a few seconds. All items of one
+	// partition are stored by one append.
+	checkpointInterval = 250 * time.Millisecond
+	// saveTimeout bounds the storing of progress after the partition was lost.
+	saveTimeout = time.Second
+	// expireInterval is how often jobs that are past their retention are deleted. expireSlack is the delay after the end of the
+	// retention.
+	expireInterval = 10 * time.Second
+	expireSlack    = 30 * time.Second
 )
 
 // run takes the partition over and runs its items until the context ends or the owner is superseded.
@@ -153,7 +156,7 @@
 	if err := follower.WaitFor(ctx, end); err != nil {
 		return
 	}
-	r.config.Logger.Info("partition taken over", "partition", r.partition, "epoch", r.writer.Epoch(), "from", r.covered,
+	r.config.Logger.Info("partition taken over", "partition", r.partition, "epoch", r.writer.Epoch(), "from", r.readFrom,
 		"end", end, "open_jobs", len(r.ledger.OpenJobs()))
 	writerDone := make(chan struct{})
 	r.active.Go(func() {
@@ -162,32 +165,32 @@
 	})
 	r.watch(ctx, writerDone)
 	r.stopAll()
-	keepCtx, cancelKeep := context.WithTimeout(context.WithoutCancel(ctx), keepTimeout)
-	defer cancelKeep()
-	r.keepAll(keepCtx)
+	saveCtx, cancelSave := context.WithTimeout(context.WithoutCancel(ctx), saveTimeout)
+	defer cancelSave()
+	r.saveAllProgress(saveCtx)
 }
 
-// watch starts and stops items as jobs come and end.
+// watch starts and stops items as jobs are submitted and end.
 func (r *runner) watch(ctx context.Context, writerDone <-chan struct{}) {
-	checkpoint := time.NewTicker(checkpointEvery)
+	checkpoint := time.NewTicker(checkpointInterval)
 	defer checkpoint.Stop()
-	expire := time.NewTicker(expireEvery)
+	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	for {
 		changed, indexChanged := r.ledger.Changed(), r.config.Index.Changed()
-		r.cover(ctx)
+		r.readEarlier(ctx)
 		r.scan(ctx)
-		r.settle(ctx)
+		r.settleJobs(ctx)
 		select {
 		case <-changed:
-			if !pause.For(ctx, scanLeast) {
+			if !pause.For(ctx, minScanInterval) {
 				return
 			}
 		case <-indexChanged:
 		case <-checkpoint.C:
 			r.checkpoint()
 		case <-expire.C:
-			r.active.Go(func() { r.expire(ctx) })
+			r.active.Go(func() { r.dropExpired(ctx) })
 		case <-writerDone:
 			return
 		case <-ctx.Done():
@@ -196,12 +199,13 @@
 	}
 }
 
-// scan compares the open jobs with what runs.
+// scan starts jobs that are open and not running, and stops running jobs that are no longer open. It passes on new progress
+// that other owners have stored.
 func (r *runner) scan(ctx context.Context) {
 	open := r.ledger.OpenJobs()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.released {
+	if r.stopped {
 		return
 	}
 	listed := make(map[string]bool, len(open))
@@ -209,11 +213,11 @@
 		listed[view.Spec.ID] = true
 		running, ok := r.jobs[view.Spec.ID]
 		if !ok {
-			r.jobs[view.Spec.ID] = r.start(ctx, view)
+			r.jobs[view.Spec.ID] = r.startJob(ctx, view)
 			continue
 		}
-		if view.Progressed > running.progressed {
-			r.adopt(view, running)
+		if view.Progressed > running.progressSeen {
+			r.offerProgress(view, running)
 		}
 	}
 	for id, running := range r.jobs {
@@ -221,36 +225,36 @@
 			running.cancel()
 			delete(r.jobs, id)
 			if !r.settling[id] {
-				r.took[id] = running.took(time.Now())
+				r.engineUsage[id] = running.usage(time.Now())
 			}
-			r.keepLeftovers(running)
+			r.savePartialTexts(running)
 		}
 	}
 }
 
-// adopt hands progress that another owner has kept to the items that have not come as far.
-func (r *runner) adopt(view job.View, running *runningJob) {
-	running.progressed = view.Progressed
+// offerProgress passes progress that another owner has stored to the items of a job. Items that are further ignore it.
+func (r *runner) offerProgress(view job.View, running *runningJob) {
+	running.progressSeen = view.Progressed
 	for _, open := range r.ledger.Open(view.Spec.ID) {
 		if execution, ok := running.items[open.Item.ID]; ok && open.Progress != nil {
-			execution.adopt(open.Progress)
+			execution.offerProgress(open.Progress)
 		}
 	}
 }
 
-// start begins all items of a job that are not listed.
-func (r *runner) start(ctx context.Context, view job.View) *runningJob {
-	r.writer.startAt(view.Spec.ID, view.Listed)
-	r.learnListed(view)
+// startJob starts all items of a job that are not listed.
+func (r *runner) startJob(ctx context.Context, view job.View) *runningJob {
+	r.writer.setPosition(view.Spec.ID, view.Listed)
+	r.recordListedLengths(view)
 	jobCtx, cancel := context.WithCancel(ctx)
 	running := &runningJob{
-		cancel: cancel, spec: view.Spec, items: make(map[string]*execution), progressed: view.Progressed,
-		whole: view.Listed == 0 && view.Progressed == 0, carried: r.carriedGroups(view.Spec), critical: &criticalEvents{},
+		cancel: cancel, spec: view.Spec, items: make(map[string]*execution), progressSeen: view.Progressed,
+		ranFromStart: view.Listed == 0 && view.Progressed == 0, carried: r.carriedGroups(view.Spec), critical: &criticalEvents{},
 	}
 	openItems := r.ledger.Open(view.Spec.ID)
 	for _, open := range openItems {
-		if kept := r.kept(view.Spec, open); kept != nil {
-			open.Progress = kept
+		if earlier := r.earlierProgress(view.Spec, open); earlier != nil {
+			open.Progress = earlier
 		}
 		execution := newExecution(r, view, open, running.carried[open.Item.Group])
 		execution.critical = running.critical
@@ -265,49 +269,51 @@
 	return running
 }
 
-// left is how many events are expected of an item of which some have come.
-func (r *runner) left(estimate, made int) float64 {
+// expectedEvents returns the expected number of further events of an item that has produced made events so far, or 0 if nothing
+// is known.
+func (r *runner) expectedEvents(estimate, made int) float64 {
 	r.lengthMutex.Lock()
 	defer r.lengthMutex.Unlock()
 	return r.lengths.Left(estimate, made)
 }
 
-// learnLength takes how many events an item came to.
-func (r *runner) learnLength(estimate, events int) {
+// recordLength records the number of events of a complete item.
+func (r *runner) recordLength(estimate, events int) {
 	r.lengthMutex.Lock()
 	defer r.lengthMutex.Unlock()
 	r.lengths.Learn(estimate, events)
 }
 
-// learnListed takes the lengths of a job's items that are listed already: an owner that has just begun knows no others.
-func (r *runner) learnListed(view job.View) {
+// recordListedLengths records the lengths of a job's items that are listed already: an owner that has just started knows no
+// others.
+func (r *runner) recordListedLengths(view job.View) {
 	estimates := make(map[string]int, len(view.Spec.Items))
 	for _, item := range view.Spec.Items {
 		estimates[item.ID] = item.LengthHint
 	}
 	for _, result := range r.ledger.Results(view.Spec.ID, 0, math.MaxInt) {
 		if !result.Dead {
-			r.learnLength(estimates[result.ItemID], 1+strings.Count(result.Text, "\n"))
+			r.recordLength(estimates[result.ItemID], 1+strings.Count(result.Text, "\n"))
 		}
 	}
 }
 
-// checkpoint keeps the events of items that have run for long since the last one.
+// checkpoint updates the critical events of all jobs, and stores the events of long items since the last checkpoint.
 func (r *runner) checkpoint() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for id, running := range r.jobs {
 		running.critical.update(running)
 		for _, execution := range running.items {
-			r.keepProgress(id, execution)
+			r.saveProgress(id, execution)
 		}
 	}
 }
 
-// keepProgress queues an item's events for the next owner, if it has come far enough since the last time.
-func (r *runner) keepProgress(jobID string, execution *execution) {
-	progress, piece, worth := execution.checkpoint()
-	if !worth {
+// saveProgress queues an item's new events for storing, if there are enough of them since the last checkpoint.
+func (r *runner) saveProgress(jobID string, execution *execution) {
+	progress, piece, due := execution.checkpoint()
+	if !due {
 		return
 	}
 	records, err := job.EncodeProgress(jobID, execution.ordinal, piece, progress, r.config.Limits.RecordBytes)
@@ -315,22 +321,22 @@
 		errorlog.Error(r.config.Logger, "progress does not encode", err, "job", jobID, "item", progress.ItemID)
 		return
 	}
-	r.writer.keep(jobID, records)
+	r.writer.save(jobID, records)
 }
 
-// stopAll stops all items and starts no further ones.
+// stopAll stops all items and prevents that further ones are started.
 func (r *runner) stopAll() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.released = true
+	r.stopped = true
 	for _, running := range r.jobs {
 		running.cancel()
 	}
 }
 
-// keepAll keeps how far the items have come that are not listed. It needs no fence, so that a superseded owner does not lose
-// what it finished while the store was away.
-func (r *runner) keepAll(ctx context.Context) {
+// saveAllProgress stores the progress of all items that are not listed. It appends without a fence, so that a superseded owner
+// does not lose what it produced while the store was not reachable.
+func (r *runner) saveAllProgress(ctx context.Context) {
 	var records []keyedlog.Record
 	r.mutex.Lock()
 	for id, running := range r.jobs {
@@ -359,12 +365,12 @@
 	r.config.Logger.Info("progress kept", "partition", r.partition, "epoch", r.writer.Epoch(), "records", len(records), "error", err)
 }
 
-// appendUnfenced appends records, each call until it is done or the context ends.
+// appendUnfenced appends records without a fence, retrying each call until it succeeds or the context ends.
 func (r *runner) appendUnfenced(ctx context.Context, records []keyedlog.Record) error {
 	calls := job.Calls(records, r.config.Limits.CallBytes)
 	for len(calls) > 0 {
 		if _, err := r.config.Log.Append(ctx, r.partition, calls[0], nil); err != nil {
-			if !pause.For(ctx, appendPause) {
+			if !pause.For(ctx, appendRetryInterval) {
 				return err
 			}
 			continue
@@ -374,7 +380,8 @@
 	return nil
 }
 
-// Release lists what is finished, keeps the progress of the rest for the next owner and stops all items.
+// Release implements ownership.Work: it stops all items, lists the results that are finished, and stores the progress of the
+// others for the next owner.
 func (r *runner) Release(ctx context.Context) {
 	r.stopAll()
 	r.writer.flush(ctx)
@@ -382,7 +389,7 @@
 	r.active.Wait()
 }
 
-// Superseded is closed when another owner has a higher epoch.
+// Superseded returns a channel that is closed when another owner has a higher epoch.
 func (r *runner) Superseded() <-chan struct{} {
 	return r.writer.Superseded()
 }
--- a/internal/jobrun/score.go
+++ b/internal/jobrun/score.go
@@ -12,8 +12,8 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// askScorer has the text scored. It returns false if the item is given up.
-func (e *execution) askScorer(ctx context.Context) (string, bool) {
+// requestScore requests a score of the text, retrying until the scorer answers. It returns false if the item is abandoned.
+func (e *execution) requestScore(ctx context.Context) (string, bool) {
 	scorer := e.item.Scorer
 	if scorer == nil {
 		return "", true
@@ -21,7 +21,7 @@
 	for ctx.Err() == nil {
 		route, ok := e.scorerRoute()
 		if !ok {
-			if e.ended(ctx, e.scorerRoute) {
+			if e.routeRemoved(ctx, e.scorerRoute) {
 				e.runner.config.Logger.Info("item given up, its scorer's route is gone", "item", e.item.ID, "job", e.view.Spec.ID)
 				return "", false
 			}
@@ -41,10 +41,10 @@
 			e.runner.config.Quarantine.NotRun(request.Call)
 		}
 		if answer.Outcome == forward.Withheld {
-			pause.For(ctx, min(answer.RetryAfter, withheldLook))
+			pause.For(ctx, min(answer.RetryAfter, withheldPollInterval))
 			continue
 		}
-		pause.For(ctx, scorePause)
+		pause.For(ctx, scoreRetryInterval)
 	}
 	return "", false
 }
--- a/internal/jobrun/steptime_test.go
+++ b/internal/jobrun/steptime_test.go
@@ -16,52 +16,53 @@
 	"github.com/hillfork/hillfork/internal/standin/memoryengine"
 )
 
-// deployment is a set of engines and the steps that a trainer asks of them.
+// deployment describes a set of engines and the steps that a trainer runs on them.
 type deployment struct {
 	engines, slots int
-	// slowest is how many times slower than the quickest engine the slowest is; the others lie between.
-	slowest float64
-	groups  int
-	hint    string
-	// quick is how many engines are the quickest and all others the slowest, 0 if the others lie between.
-	quick int
+	// slowdown is the ratio of the slowest engine's pace to the fastest engine's; the paces of the others are spread evenly
+	// between.
+	slowdown float64
+	groups   int
+	hint     string
+	// fast is the number of engines with the fastest pace while all others have the slowest; 0 spreads the paces evenly.
+	fast int
 }
 
 const (
 	hintExact  = "exact"
 	hintHalf   = "off by half"
 	hintAbsent = "absent"
-	// groupItems is how many items a group has, tokensPerEvent how many tokens an event.
+	// groupItems is the number of items per group, tokensPerEvent the number of tokens per event.
 	groupItems     = 4
 	tokensPerEvent = 50
-	// lookEvery is how often a step is looked at.
-	lookEvery = 25 * time.Millisecond
-	// stepShare is the part of a step's groups that the trainer waits for.
-	stepShare = 0.9
+	// pollInterval is how often the state of a step is checked.
+	pollInterval = 25 * time.Millisecond
+	// desiredShare is the share of a step's groups that the trainer waits for.
+	desiredShare = 0.9
 )
 
 func (d deployment) String() string {
-	text := fmt.Sprintf("%d engines of %d, x%g, %d groups, hint %s", d.engines, d.slots, d.slowest, d.groups, d.hint)
-	if d.quick > 0 {
-		text += fmt.Sprintf(", %d quick", d.quick)
+	text := fmt.Sprintf("%d engines of %d, x%g, %d groups, hint %s", d.engines, d.slots, d.slowdown, d.groups, d.hint)
+	if d.fast > 0 {
+		text += fmt.Sprintf(", %d fast", d.fast)
 	}
 	return text
 }
 
-// pace is that of an engine by its number.
+// pace returns the pace of an engine by its number.
 func (d deployment) pace(number int) time.Duration {
 	factor := 1.0
-	if d.quick > 0 && number >= d.quick {
-		factor = d.slowest
+	if d.fast > 0 && number >= d.fast {
+		factor = d.slowdown
 	}
-	if d.quick == 0 && d.engines > 1 {
-		factor += (d.slowest - 1) * float64(number) / float64(d.engines-1)
+	if d.fast == 0 && d.engines > 1 {
+		factor += (d.slowdown - 1) * float64(number) / float64(d.engines-1)
 	}
 	return time.Duration(factor * float64(20*time.Millisecond))
 }
 
-// world returns the stand-ins of a deployment.
-func (d deployment) world(t *testing.T) *world {
+// newWorld returns a world with the engines of the deployment.
+func (d deployment) newWorld(t *testing.T) *world {
 	w := newWorld(t, 0)
 	for i := range d.engines {
 		engine := fleet.Engine{ID: fmt.Sprintf("model%03d", i), Pool: "models", Slots: d.slots, Versions: map[string]int64{modelName: 2}}
@@ -71,9 +72,9 @@
 	return w
 }
 
-// step returns a step with items of which a few are much longer than the others, and their lengths in events.
+// step returns a step in which a few items are much longer than the others, and the items' lengths in events.
 func (d deployment) step(id string, random *rand.Rand) (job.Spec, map[string]int) {
-	step := job.Spec{ID: id, Route: "items", Host: "h", Model: modelName, MinVersion: 2, Desired: max(1, int(stepShare*float64(d.groups)))}
+	step := job.Spec{ID: id, Route: "items", Host: "h", Model: modelName, MinVersion: 2, Desired: max(1, int(desiredShare*float64(d.groups)))}
 	lengths := make(map[string]int)
 	for i := range d.groups * groupItems {
 		events := 12 * math.Exp(0.6*random.NormFloat64())
@@ -94,8 +95,9 @@
 	return step, lengths
 }
 
-// bound is the least time in which the wanted groups can be whole, with all lengths known and nothing but engine time: the longest
-// item that is needed at the quickest pace, or the least work that is needed over all places.
+// bound returns a lower bound of the time until the desired groups are complete, with all lengths known and no delay besides
+// engine time. It is the maximum of the longest item that is needed at the fastest pace, and the minimum work that is needed
+// spread over all slots.
 func (d deployment) bound(step job.Spec, lengths map[string]int) time.Duration {
 	longest, work := make(map[string]int), make(map[string]int)
 	for _, item := range step.Items {
@@ -114,7 +116,7 @@
 	return max(time.Duration(least[len(least)-1])*d.pace(0), time.Duration(float64(needed)/rate*float64(time.Second)))
 }
 
-// smallest returns the so many smallest values, in order.
+// smallest returns the count smallest values in ascending order.
 func smallest(values map[string]int, count int) []int {
 	sorted := make([]int, 0, len(values))
 	for _, value := range values {
@@ -124,93 +126,96 @@
 	return sorted[:count]
 }
 
-// wholeGroups counts the groups of a step of which all items are listed.
-func (n *node) wholeGroups(step job.Spec) int {
+// completeGroups returns the number of groups of a step whose items are all listed.
+func (n *node) completeGroups(step job.Spec) int {
 	listed := make(map[string]bool)
 	for _, result := range n.results(step.ID) {
 		listed[result.ItemID] = true
 	}
-	left := make(map[string]int)
+	missingItems := make(map[string]int)
 	for _, item := range step.Items {
-		left[item.Group] += 0
+		missingItems[item.Group] += 0
 		if !listed[item.ID] {
-			left[item.Group]++
+			missingItems[item.Group]++
 		}
 	}
-	whole := 0
-	for _, missing := range left {
+	complete := 0
+	for _, missing := range missingItems {
 		if missing == 0 {
-			whole++
+			complete++
 		}
 	}
-	return whole
+	return complete
 }
 
-// play submits a step and returns how long its wanted groups took.
-func (d deployment) play(w *world, owner *node, step job.Spec) time.Duration {
+// runStep submits a step and returns the time until the desired groups are complete.
+func (d deployment) runStep(w *world, owner *node, step job.Spec) time.Duration {
 	began := time.Now()
 	w.submit(step)
-	for owner.wholeGroups(step) < step.Desired {
-		time.Sleep(lookEvery)
+	for owner.completeGroups(step) < step.Desired {
+		time.Sleep(pollInterval)
 	}
-	took := time.Since(began)
+	elapsed := time.Since(began)
 	w.end(step.ID)
 	time.Sleep(500 * time.Millisecond)
-	return took
+	return elapsed
 }
 
-// How many times the bound steps take at most, all of a deployment together.
+// Maximum ratios of the steps' duration to the bound, over all steps of a deployment.
 const (
-	// spareFactor is where engines have room for all items at once and lengths are told, unknownFactor where they are not told.
-	spareFactor   = 1.25
-	unknownFactor = 1.6
-	// loadedFactor is where engines are full: the bound leaves the groups of most work out, and steps run them like the others.
-	loadedFactor = 1.75
-	// toldFactor and guessedFactor are where a quarter of the engines are quick and their places are for the longest items, with lengths
-	// told exactly and badly: a trainer waits for the longest item, so that one that began on a slow engine costs all others.
-	toldFactor    = 1.05
-	guessedFactor = 1.25
+	// maxSpareFactor applies where engines have slots for all items at once and length hints are given, maxUnknownFactor where no
+	// hints are given.
+	maxSpareFactor   = 1.25
+	maxUnknownFactor = 1.6
+	// maxLoadedFactor applies where engines are full. The bound excludes the groups with the most work, while steps run them like
+	// the others.
+	maxLoadedFactor = 1.75
+	// maxExactHintFactor and maxHalfHintFactor apply where a quarter of the engines are fast and their slots are meant for the
+	// longest items, with exact hints and with hints that are off by half. A trainer waits for the longest item, so one that
+	// starts on a slow engine delays the whole step.
+	maxExactHintFactor = 1.05
+	maxHalfHintFactor  = 1.25
 )
 
-// TestStepsComeNearTheBound plays steps on engines of other numbers, places and speeds, with lengths told exactly, badly or not at
-// all, after one step from which lengths and paces can be learnt.
-func TestStepsComeNearTheBound(t *testing.T) {
+// TestStepDurationIsNearLowerBound measures steps on different numbers of engines, slots and speeds, with exact, inaccurate or
+// no length hints, after a first step from which lengths and paces are learned.
+func TestStepDurationIsNearLowerBound(t *testing.T) {
 	tests := []struct {
 		deployment
 		factor float64
 	}{
-		{deployment{6, 12, 1.3, 28, hintExact, 0}, spareFactor},
-		{deployment{6, 12, 1.3, 28, hintHalf, 0}, spareFactor},
-		{deployment{6, 12, 1.3, 28, hintAbsent, 0}, unknownFactor},
-		{deployment{20, 8, 1, 32, hintHalf, 0}, spareFactor},
-		{deployment{2, 2, 1, 8, hintExact, 0}, loadedFactor},
-		{deployment{4, 8, 4, 32, hintExact, 0}, loadedFactor},
-		{deployment{8, 8, 3, 32, hintHalf, 0}, loadedFactor},
-		{deployment{4, 4, 2, 24, hintAbsent, 0}, loadedFactor},
-		{deployment{11, 12, 2.2, 32, hintExact, 3}, toldFactor},
-		{deployment{11, 12, 2.2, 32, hintHalf, 3}, guessedFactor},
-		{deployment{11, 8, 2.2, 32, hintHalf, 3}, loadedFactor},
+		{deployment{6, 12, 1.3, 28, hintExact, 0}, maxSpareFactor},
+		{deployment{6, 12, 1.3, 28, hintHalf, 0}, maxSpareFactor},
+		{deployment{6, 12, 1.3, 28, hintAbsent, 0}, maxUnknownFactor},
+		{deployment{20, 8, 1, 32, hintHalf, 0}, maxSpareFactor},
+		{deployment{2, 2, 1, 8, hintExact, 0}, maxLoadedFactor},
+		{deployment{4, 8, 4, 32, hintExact, 0}, maxLoadedFactor},
+		{deployment{8, 8, 3, 32, hintHalf, 0}, maxLoadedFactor},
+		{deployment{4, 4, 2, 24, hintAbsent, 0}, maxLoadedFactor},
+		{deployment{11, 12, 2.2, 32, hintExact, 3}, maxExactHintFactor},
+		{deployment{11, 12, 2.2, 32, hintHalf, 3}, maxHalfHintFactor},
+		{deployment{11, 8, 2.2, 32, hintHalf, 3}, maxLoadedFactor},
 	}
 	for _, test := range tests {
 		t.Run(test.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := test.world(t)
-				owner := w.node("owner")
+				w := test.newWorld(t)
+				owner := w.newNode("owner")
 				owner.own(1)
 				time.Sleep(time.Second)
 				random := rand.New(rand.NewSource(1))
 				first, _ := test.step("first", random)
-				test.play(w, owner, first)
-				var took, bounds time.Duration
+				test.runStep(w, owner, first)
+				var elapsed, bounds time.Duration
 				for i := range 3 {
 					step, lengths := test.step(fmt.Sprint("step", i), random)
-					took += test.play(w, owner, step)
+					elapsed += test.runStep(w, owner, step)
 					bounds += test.bound(step, lengths)
 				}
-				factor := float64(took) / float64(bounds)
+				factor := float64(elapsed) / float64(bounds)
 				t.Logf("%.3f times the bound", factor)
 				if factor > test.factor {
-					t.Errorf("%v is %.3f times the bound of %v", took, factor, bounds)
+					t.Errorf("%v is %.3f times the bound of %v", elapsed, factor, bounds)
 				}
 				owner.release()
 			})
--- a/internal/jobrun/took.go
+++ b/internal/jobrun/took.go
@@ -6,62 +6,62 @@
 	"github.com/hillfork/hillfork/internal/job"
 )
 
-// takeTook returns what a job that is about to be settled took of engines, and forgets it.
-func (r *runner) takeTook(id string) job.Took {
+// takeUsage returns the engine time of a job that is about to be settled, and forgets it.
+func (r *runner) takeUsage(id string) job.Took {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if running, ok := r.jobs[id]; ok {
-		return running.took(time.Now())
+		return running.usage(time.Now())
 	}
-	took := r.took[id]
-	delete(r.took, id)
-	return took
+	usage := r.engineUsage[id]
+	delete(r.engineUsage, id)
+	return usage
 }
 
-// took returns what the job has taken of engines up to a moment, the zero value if another owner has run a part of it.
-func (j *runningJob) took(now time.Time) job.Took {
-	var took job.Took
-	if !j.whole {
-		return took
+// usage returns the engine time that the job has used until now, or the zero value if another owner has run a part of it.
+func (j *runningJob) usage(now time.Time) job.Took {
+	var total job.Took
+	if !j.ranFromStart {
+		return total
 	}
 	longest := make(map[string]time.Duration)
-	broken := make(map[string]bool)
+	unfinished := make(map[string]bool)
 	for _, execution := range j.items {
-		held, settled := execution.heldFor(now)
+		held, finished := execution.heldTime(now)
 		group := execution.item.Group
-		took.Items += held
+		total.Items += held
 		longest[group] = max(longest[group], held)
-		broken[group] = broken[group] || !settled
+		unfinished[group] = unfinished[group] || !finished
 	}
 	for group, held := range longest {
-		if !broken[group] {
-			took.Longest = max(took.Longest, held)
+		if !unfinished[group] {
+			total.Longest = max(total.Longest, held)
 		}
 	}
-	return took
+	return total
 }
 
-// hold notes that the item holds a place from now on, letGo that it does no more.
-func (e *execution) hold() {
+// markSlotHeld records that the item holds a slot from now on; markSlotReleased records that it no longer does.
+func (e *execution) markSlotHeld() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.heldSince = time.Now()
 }
 
-func (e *execution) letGo() {
+func (e *execution) markSlotReleased() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.held += time.Since(e.heldSince)
 	e.heldSince = time.Time{}
 }
 
-// heldFor returns how long the item has held places up to a moment, and whether its text is whole.
-func (e *execution) heldFor(now time.Time) (time.Duration, bool) {
+// heldTime returns how long the item has held slots until now, and reports whether the item is finished.
+func (e *execution) heldTime(now time.Time) (time.Duration, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	held := e.held
 	if !e.heldSince.IsZero() {
 		held += now.Sub(e.heldSince)
 	}
-	return held, e.settled
+	return held, e.finished
 }
--- a/internal/jobrun/world_test.go
+++ b/internal/jobrun/world_test.go
@@ -35,28 +35,28 @@
 	eventCount = 20
 )
 
-// world is a store, model engines and scorers, before any number of nodes.
+// world is the environment of the tests: a store, model engines and scorers, which any number of nodes use.
 type world struct {
 	test    *testing.T
 	store   *memorylog.Store
 	engines *memoryengine.Engines
 	models  []fleet.Engine
 	scorers []fleet.Engine
-	// singleVersion makes the route allow texts of one version only.
+	// singleVersion makes the route accept only texts of one weight version.
 	singleVersion bool
-	// unconfigured starts nodes without routes.
-	unconfigured bool
-	ctx          context.Context
-	running      *sync.WaitGroup
+	// withoutRoutes starts nodes without a catalog.
+	withoutRoutes bool
+	ctx           context.Context
+	running       *sync.WaitGroup
 }
 
-func newWorld(t *testing.T, modelEngines int) *world {
+func newWorld(t *testing.T, modelCount int) *world {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &world{
 		test: t, store: memorylog.New(memorylog.Config{Partitions: partitions, Delay: 3 * time.Millisecond}),
 		engines: memoryengine.New(), ctx: ctx, running: new(sync.WaitGroup),
 	}
-	for i := range modelEngines {
+	for i := range modelCount {
 		engine := fleet.Engine{ID: fmt.Sprint("model", i), Pool: "models", Slots: 4, Versions: map[string]int64{modelName: 2}}
 		w.models = append(w.models, engine)
 		w.engines.Add(engine, memoryengine.Behaviour{Pace: pace, Load: 500 * time.Millisecond})
@@ -73,12 +73,11 @@
 	return w
 }
 
-// node is a process that may own partitions.
 type node struct {
 	world *world
 	name  string
 	index *job.Index
-	// ledger holds the whole partition of the jobs, read apart from what the owner reads.
+	// ledger holds all records of the jobs' partition. It is read independently of the owner's runner.
 	ledger    *job.Ledger
 	directory *fleet.Directory
 	log       keyedlog.Log
@@ -104,7 +103,7 @@
 }
 func (a indexApplier) Advanced(end int64) { a.index.Advanced(end) }
 
-func (w *world) node(name string) *node {
+func (w *world) newNode(name string) *node {
 	logger := log.New(io.Discard)
 	n := &node{
 		world: w, name: name, index: job.NewIndex(), directory: fleet.NewDirectory(), log: storetimeout.New(w.store.For(name)),
@@ -122,7 +121,7 @@
 	follower(jobsPartition(), ledgerApplier{n.ledger})
 	operator := follower(keyedlog.Partition{Topic: keyedlog.TopicOperator}, ledgerApplier{job.NewLedger(n.index, 0)})
 	n.routes = catalog.NewHolder()
-	if !w.unconfigured {
+	if !w.withoutRoutes {
 		n.configure(w)
 	}
 	queue := jobrun.NewQueue(n.directory)
@@ -140,7 +139,7 @@
 	return n
 }
 
-// configure gives a node its routes.
+// configure sets the node's catalog.
 func (n *node) configure(w *world) {
 	n.routes.Set(catalog.New(1, []catalog.Route{
 		{
@@ -154,14 +153,14 @@
 	}, nil, catalog.Limits{}))
 }
 
-// own makes the node the owner of the jobs' partition under an epoch.
+// own makes the node the owner of the jobs' partition with the given epoch.
 func (n *node) own(epoch int64) {
 	ctx, cancel := context.WithCancel(n.world.ctx)
 	n.cancel = cancel
 	n.work = n.holder.Gained(ctx, jobsPartition(), epoch)
 }
 
-// jobsPartition keeps all jobs of these tests.
+// jobsPartition returns the partition that contains all jobs of these tests.
 func jobsPartition() keyedlog.Partition {
 	return job.PartitionOf(spec("", 0), partitions, nil)
 }
@@ -173,7 +172,7 @@
 	n.cancel()
 }
 
-// spec returns a job of so many items of eventCount events each.
+// spec returns a job with the given number of items of eventCount events each.
 func spec(id string, items int) job.Spec {
 	spec := job.Spec{ID: id, Route: "items", Host: "h", Model: modelName, MinVersion: 2}
 	for i := range items {
@@ -187,21 +186,21 @@
 	return spec
 }
 
-// submit hands a job in as a gateway does: its items, then its entry in the index.
+// submit submits a job like a gateway: first its items, then its entry in the index.
 func (w *world) submit(spec job.Spec) {
 	w.test.Helper()
-	w.enter(spec, w.write(spec))
+	w.addToIndex(spec, w.writeItems(spec))
 }
 
-// write appends the items of a job, and returns where they lie.
-func (w *world) write(spec job.Spec) keyedlog.Appended {
+// writeItems appends the items of a job, and returns their offsets.
+func (w *world) writeItems(spec job.Spec) keyedlog.Appended {
 	w.test.Helper()
 	records, err := job.EncodeSpec(spec, 1<<18)
 	return w.append(jobsPartition(), records, err)
 }
 
-// enter makes a job exist whose items were written.
-func (w *world) enter(spec job.Spec, items keyedlog.Appended) {
+// addToIndex appends the index entry of a job whose items were written, which makes the job known.
+func (w *world) addToIndex(spec job.Spec, items keyedlog.Appended) {
 	w.test.Helper()
 	spec.SubmittedAt = time.Now().UnixMilli()
 	record, err := job.EncodeEntry(job.NewEntry(spec, jobsPartition(), items.Offset, items.End, 1000), "try")
@@ -225,13 +224,13 @@
 	return appended
 }
 
-// results returns the listed results as a node sees them.
+// results returns the listed results of a job that the node has read.
 func (n *node) results(id string) []*job.Result {
 	return n.ledger.Results(id, 0, 1<<30)
 }
 
-// checkWhole checks that every item of a job is listed once, with its whole text, versions and score.
-func (n *node) checkWhole(spec job.Spec) {
+// checkComplete checks that every item of a job is listed once, with its complete text, versions and score.
+func (n *node) checkComplete(spec job.Spec) {
 	t := n.world.test
 	t.Helper()
 	listed := make(map[string]bool)
@@ -248,7 +247,7 @@
 		}
 		for _, version := range result.Versions {
 			if version < spec.MinVersion {
-				t.Errorf("%s was made under version %d", result.ItemID, version)
+				t.Errorf("%s was generated with version %d", result.ItemID, version)
 			}
 		}
 	}
@@ -257,14 +256,14 @@
 	}
 }
 
-// load makes an engine serve another version, as an order does; streams are cut.
+// load makes an engine load another version, which cuts its streams.
 func (w *world) load(id string, version int64) {
 	w.test.Helper()
-	w.loadBy(id, version, engineapi.LoadCuts)
+	w.loadWithMode(id, version, engineapi.LoadCuts)
 }
 
-// loadBy is a load after which runs are cut or go on, by the mode.
-func (w *world) loadBy(id string, version int64, mode engineapi.LoadMode) {
+// loadWithMode makes an engine load another version; the mode defines whether its streams are cut or continue.
+func (w *world) loadWithMode(id string, version int64, mode engineapi.LoadMode) {
 	w.test.Helper()
 	report, err := w.engines.Report(w.ctx, fleet.Engine{ID: id})
 	if err != nil {
--- a/internal/jobrun/writer.go
+++ b/internal/jobrun/writer.go
@@ -13,50 +13,51 @@
 )
 
 const (
-	// writerName names the line of epochs of owners in a partition.
+	// writerName names the sequence of owner epochs in a partition.
 	writerName = "owner"
-	// appendPause is the pause between appends without a fence that failed. The log bounds each append.
-	appendPause = 50 * time.Millisecond
+	// appendRetryInterval is the delay before an append without a fence, or a confirmation of the index, is retried. The log
+	// bounds the duration of each call.
+	appendRetryInterval = 50 * time.Millisecond
 )
 
-// writer appends the records of one owner to its partition, in sequence and under its epoch. Records that wait are appended
-// together.
+// writer appends the records of one owner to its partition, in sequence and with its epoch. Pending records are combined into
+// one append.
 type writer struct {
 	*fencing.Writer
 	limits Limits
 	logger *log.Logger
 
 	mutex sync.Mutex
-	// positions counts the results given a position, by job.
+	// positions is the number of results that have been assigned a position, by job.
 	positions map[string]int
-	// closed holds the jobs of which nothing more is listed.
+	// closed holds the jobs of which no further results are listed.
 	closed  map[string]bool
-	waiting []entry
-	arrived chan struct{}
-	// flushed is closed once everything that was waiting is written; nil while nobody asks.
-	idle chan struct{}
-	busy bool
+	pending []entry
+	wakeup  chan struct{}
+	// idle is closed once all pending entries are written; nil while no call of flush waits for that.
+	idle      chan struct{}
+	appending bool
 }
 
-// entry is one piece to write: a result, or records that need no position.
+// entry is one unit to write: a result, or records that need no position.
 type entry struct {
-	// jobID names the job after whose close the piece is not written any more; empty if it is written all the same.
+	// jobID is the job after whose close the entry is dropped instead of queued; empty if it is always written.
 	jobID   string
 	result  *job.Result
 	records []keyedlog.Record
-	// done is called once the piece is durable, with an offset that it lies below.
+	// done is called once the entry is durable, with an offset that is higher than those of its records.
 	done func(end int64)
 }
 
 func newWriter(fenced *fencing.Writer, limits Limits, logger *log.Logger) *writer {
 	return &writer{
 		Writer: fenced, limits: limits, logger: logger, positions: make(map[string]int), closed: make(map[string]bool),
-		arrived: make(chan struct{}, 1),
+		wakeup: make(chan struct{}, 1),
 	}
 }
 
-// startAt sets how many results of a job are listed already.
-func (w *writer) startAt(jobID string, listed int) {
+// setPosition sets the number of results of a job that are listed already, unless that number is known.
+func (w *writer) setPosition(jobID string, listed int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if _, known := w.positions[jobID]; !known {
@@ -64,49 +65,49 @@
 	}
 }
 
-// list queues a result; done is called once it is durable. A result of a job that was closed is dropped.
+// list queues a result; done is called once it is durable. A result of a closed job is dropped.
 func (w *writer) list(jobID string, result *job.Result, done func()) {
-	w.push(entry{jobID: jobID, result: result, done: func(int64) { done() }})
+	w.enqueue(entry{jobID: jobID, result: result, done: func(int64) { done() }})
 }
 
-// close takes no further result or progress of a job, drops keys that nobody needs any more, and queues the record that says
-// so; done is called once that is durable, with an offset below which all the job's results lie.
-func (w *writer) close(jobID string, needless []string, done func(end int64)) {
+// closeJob rejects further results and progress of a job, deletes obsolete keys, and queues the record that marks the end of
+// its results. done is called once that record is durable, with an offset that is higher than those of all the job's results.
+func (w *writer) closeJob(jobID string, obsoleteKeys []string, done func(end int64)) {
 	w.mutex.Lock()
 	w.closed[jobID] = true
 	w.mutex.Unlock()
-	for _, records := range job.Calls(dropped(needless), w.limits.CallBytes) {
-		w.push(entry{records: records})
+	for _, records := range job.Calls(tombstones(obsoleteKeys), w.limits.CallBytes) {
+		w.enqueue(entry{records: records})
 	}
-	w.push(entry{records: []keyedlog.Record{job.EncodeLast(jobID)}, done: done})
+	w.enqueue(entry{records: []keyedlog.Record{job.EncodeLast(jobID)}, done: done})
 }
 
-// keep queues records of a job that need no position. Those of a job that was closed are dropped.
-func (w *writer) keep(jobID string, records []keyedlog.Record) {
-	w.push(entry{jobID: jobID, records: records})
+// save queues records of a job that need no position. Records of a closed job are dropped.
+func (w *writer) save(jobID string, records []keyedlog.Record) {
+	w.enqueue(entry{jobID: jobID, records: records})
 }
 
-func (w *writer) push(next entry) {
+func (w *writer) enqueue(next entry) {
 	w.mutex.Lock()
 	if next.jobID != "" && w.closed[next.jobID] {
 		w.mutex.Unlock()
 		return
 	}
-	w.waiting = append(w.waiting, next)
+	w.pending = append(w.pending, next)
 	w.mutex.Unlock()
 	select {
-	case w.arrived <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// run writes until the context ends or the owner is superseded.
+// run writes pending entries until the context ends or the owner is superseded.
 func (w *writer) run(ctx context.Context) {
 	for {
-		batch, records := w.take()
+		batch, records := w.nextBatch()
 		if len(records) == 0 {
 			select {
-			case <-w.arrived:
+			case <-w.wakeup:
 				continue
 			case <-ctx.Done():
 				return
@@ -124,14 +125,14 @@
 	}
 }
 
-// take returns what fits one append, with positions given to results.
-func (w *writer) take() ([]entry, []keyedlog.Record) {
+// nextBatch returns the entries that fit one append, and their records, in which results have been assigned positions.
+func (w *writer) nextBatch() ([]entry, []keyedlog.Record) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.busy = false
+	w.appending = false
 	var records []keyedlog.Record
 	size, count := 0, 0
-	for _, next := range w.waiting {
+	for _, next := range w.pending {
 		encoded, err := w.encode(next)
 		if err != nil {
 			errorlog.Error(w.logger, "record does not encode", err, "job", next.jobID)
@@ -148,10 +149,10 @@
 		records = append(records, encoded...)
 		count++
 	}
-	batch := w.waiting[:count:count]
-	w.waiting = w.waiting[count:]
+	batch := w.pending[:count:count]
+	w.pending = w.pending[count:]
 	if len(records) > 0 {
-		w.busy = true
+		w.appending = true
 	} else if w.idle != nil {
 		close(w.idle)
 		w.idle = nil
@@ -166,10 +167,10 @@
 	return job.EncodeResult(next.jobID, w.positions[next.jobID], *next.result, w.limits.RecordBytes)
 }
 
-// flush waits until everything that waits is written, or the context ends.
+// flush waits until all pending entries are written, the owner is superseded, or the context ends.
 func (w *writer) flush(ctx context.Context) {
 	w.mutex.Lock()
-	if len(w.waiting) == 0 && !w.busy {
+	if len(w.pending) == 0 && !w.appending {
 		w.mutex.Unlock()
 		return
 	}
--- a/internal/jobrun/writer_test.go
+++ b/internal/jobrun/writer_test.go
@@ -14,8 +14,9 @@
 	"github.com/matryer/is"
 )
 
-// TestNothingIsListedOfAClosedJob checks that results that come after a job was closed are dropped, and those before are kept.
-func TestNothingIsListedOfAClosedJob(t *testing.T) {
+// TestClosedJobListsNothing checks that results and progress of a job are dropped after the job was closed, and kept if they
+// were queued before.
+func TestClosedJobListsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memorylog.New(memorylog.Config{Partitions: 1})
@@ -26,10 +27,10 @@
 		}), Limits{RecordBytes: 1 << 18, CallBytes: 1 << 21}, logger)
 		end := int64(0)
 		w.list("one", &job.Result{ItemID: "a"}, func() {})
-		w.keep("one", []keyedlog.Record{{Key: "p/one/0", Value: []byte("x")}})
-		w.close("one", []string{"p/one/0/1"}, func(offset int64) { end = offset })
+		w.save("one", []keyedlog.Record{{Key: "p/one/0", Value: []byte("x")}})
+		w.closeJob("one", []string{"p/one/0/1"}, func(offset int64) { end = offset })
 		w.list("one", &job.Result{ItemID: "b"}, func() { t.Error("listed after the close") })
-		w.keep("one", []keyedlog.Record{{Key: "p/one/1", Value: []byte("x")}})
+		w.save("one", []keyedlog.Record{{Key: "p/one/1", Value: []byte("x")}})
 		w.list("two", &job.Result{ItemID: "c"}, func() {})
 		go w.run(t.Context())
 		synctest.Wait()
