--- a/internal/eventrun/eventrun.go
+++ b/internal/eventrun/eventrun.go
@@ -1,5 +1,6 @@
-// Package eventrun runs one streamed request on one engine: it sends the request, passes the events on in order, and tells
-// how the run ended. A run whose engine falls silent is given up. It chooses no engine and repeats nothing.
+// Package eventrun runs one streamed request on one engine: it sends the request, passes the events on in order, and reports
+// how the run ended. A run is abandoned if its engine sends no event for too long. The package neither chooses the engine nor
+// retries.
 package eventrun
 
 import (
@@ -15,53 +16,53 @@
 	"github.com/hillfork/hillfork/internal/fleet"
 )
 
-// Ending says how a run ended.
+// Ending is the way in which a run ended.
 type Ending int
 
 // Endings of a run.
 const (
-	// EndedWhole says that the stream came to its end.
+	// EndedWhole means that the stream ended normally.
 	EndedWhole Ending = iota
-	// EndedNotRun says that the engine did not run the request.
+	// EndedNotRun means that the engine did not run the request.
 	EndedNotRun
-	// EndedFailed says that the engine answered with a failure of its own.
+	// EndedFailed means that the engine answered with an error.
 	EndedFailed
-	// EndedBroken says that the stream was cut short, or that its bytes were no events in order.
+	// EndedBroken means that the stream was cut off, or that it contained something else than events in sequence.
 	EndedBroken
-	// EndedSilent says that the engine fell silent and was given up.
+	// EndedSilent means that the run was abandoned because the engine sent no event in time.
 	EndedSilent
-	// EndedByReceiver says that the receiver of the events stopped the run.
+	// EndedByReceiver means that the receiver of the events stopped the run.
 	EndedByReceiver
-	// EndedByCaller says that the context ended.
+	// EndedByCaller means that the context ended.
 	EndedByCaller
 )
 
 var endingNames = [...]string{"whole", "not_run", "failed", "broken", "silent", "stopped", "cancelled"}
 
-// String returns the name used in logs.
+// String returns the name that log lines use.
 func (e Ending) String() string {
 	return endingNames[e]
 }
 
-// Limits bounds how long an engine may be silent.
+// Limits are the timeouts of a run.
 type Limits struct {
-	// First bounds the time to the first event, Gap that between events.
+	// First is the timeout for the first event, Gap the timeout between two events.
 	First time.Duration
 	Gap   time.Duration
 }
 
-// Result tells how a run ended.
+// Result describes how a run ended.
 type Result struct {
 	Ending Ending
-	// Status is that of the answer, 0 if there was none.
+	// Status is the HTTP status of the answer, 0 if there was none.
 	Status int
-	// Events counts those passed on.
+	// Events is the number of events that were passed on.
 	Events int
-	// Err says what was wrong, nil for a whole run.
+	// Err is the error that ended the run. It is nil if the stream ended normally, or if the engine's answer was not a stream.
 	Err error
 }
 
-// Cause says why the run was not whole.
+// Cause describes why the run did not end normally.
 func (r Result) Cause() string {
 	switch {
 	case r.Err != nil:
@@ -73,34 +74,35 @@
 	}
 }
 
-// Receiver takes what an engine answers.
+// Receiver handles the answer of an engine.
 type Receiver interface {
-	// Head takes the head of an answer that is a stream.
+	// Head handles the head of a streamed answer. An error ends the run.
 	Head(reply *engineapi.Reply) error
-	// Event takes the next event. An error ends the run.
+	// Event handles the next event. An error ends the run.
 	Event(event engineapi.Event) error
 }
 
-// errDisorder says that an event does not follow the one before.
-var errDisorder = errors.New("event is not the next")
+// errOutOfSequence is returned for an event whose ID is not the successor of the previous one.
+var errOutOfSequence = errors.New("event is out of sequence")
 
-// Run sends the call to the engine and passes its events to the receiver.
+// Run sends the call to the engine and passes its events to the receiver. It returns when the stream or the context ends, a
+// timeout of limits passes, or the receiver returns an error.
 func Run(
 	ctx context.Context, client engineapi.Client, engine fleet.Engine, call engineapi.Call, limits Limits, receiver Receiver,
 ) Result {
 	runCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var silent atomic.Bool
+	var timedOut atomic.Bool
 	watchdog := time.AfterFunc(limits.First, func() {
-		silent.Store(true)
+		timedOut.Store(true)
 		cancel()
 	})
 	defer watchdog.Stop()
 	reply, err := client.Send(runCtx, engine, call)
 	if err != nil {
-		return Result{Ending: interruption(ctx, &silent, sendEnding(err)), Err: err}
+		return Result{Ending: interruption(ctx, &timedOut, sendErrorEnding(err)), Err: err}
 	}
-	defer reply.Body.Close() //nolint:errcheck // closing early is how a run is stopped
+	defer reply.Body.Close() //nolint:errcheck // closing the body early stops the run
 	if reply.NotRun {
 		return Result{Ending: EndedNotRun, Status: reply.Status}
 	}
@@ -110,49 +112,49 @@
 	if err := receiver.Head(reply); err != nil {
 		return Result{Ending: EndedByReceiver, Status: reply.Status, Err: err}
 	}
-	result := pass(client.Events(reply.Body), call.ResumeAfter, receiver, func() { watchdog.Reset(limits.Gap) })
+	result := passEvents(client.Events(reply.Body), call.ResumeAfter, receiver, func() { watchdog.Reset(limits.Gap) })
 	result.Status = reply.Status
 	if result.Ending == EndedBroken {
-		result.Ending = interruption(ctx, &silent, EndedBroken)
+		result.Ending = interruption(ctx, &timedOut, EndedBroken)
 	}
 	return result
 }
 
-func sendEnding(err error) Ending {
+func sendErrorEnding(err error) Ending {
 	if errors.Is(err, engineapi.ErrNotSent) {
 		return EndedNotRun
 	}
 	return EndedBroken
 }
 
-// interruption tells who interrupted a run, or how it ended if nobody did.
-func interruption(ctx context.Context, silent *atomic.Bool, otherwise Ending) Ending {
+// interruption returns the ending of a run that the caller or the timeout interrupted, and otherwise if neither did.
+func interruption(ctx context.Context, timedOut *atomic.Bool, otherwise Ending) Ending {
 	switch {
 	case ctx.Err() != nil:
 		return EndedByCaller
-	case silent.Load() && otherwise == EndedBroken:
+	case timedOut.Load() && otherwise == EndedBroken:
 		return EndedSilent
 	default:
 		return otherwise
 	}
 }
 
-// pass hands the events on, each the next after the one before.
-func pass(events engineapi.EventReader, after int64, receiver Receiver, alive func()) Result {
+// passEvents passes the events to the receiver and checks that their IDs are consecutive. It calls onEvent for each event.
+func passEvents(events engineapi.EventReader, resumeAfter int64, receiver Receiver, onEvent func()) Result {
 	passed := 0
-	last := after
+	last := resumeAfter
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
 			return Result{Ending: EndedWhole, Events: passed}
 		}
 		if err == nil && event.ID != last+1 {
-			err = errDisorder
+			err = errOutOfSequence
 		}
 		if err != nil {
 			return Result{Ending: EndedBroken, Events: passed, Err: err}
 		}
-		alive()
+		onEvent()
 		if err := receiver.Event(event); err != nil {
 			return Result{Ending: EndedByReceiver, Events: passed, Err: err}
 		}
