--- a/internal/accounting/accounting.go
+++ b/internal/accounting/accounting.go
@@ -1,5 +1,5 @@
-// Package accounting counts what control work costs a node, by mechanism, apart from the data path: bytes and messages
-// in each direction.
+// Package accounting counts the network traffic of control work on a node, by mechanism and separately from the data path:
+// bytes and messages in each direction.
 package accounting
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Mechanism is a kind of work that crosses the network.
+// Mechanism is a kind of work that causes network traffic.
 type Mechanism string
 
-// Mechanisms. Data carries prompts and answers; all others are control work.
+// Mechanisms. Data is the traffic of prompts and answers; all others are control work.
 const (
 	Membership  Mechanism = "membership"
 	Bundle      Mechanism = "bundle"
@@ -37,7 +37,7 @@
 	messages *prometheus.CounterVec
 }
 
-// New returns counters registered with registerer.
+// New returns counters that are registered with registerer.
 func New(registerer prometheus.Registerer) *Counters {
 	counters := &Counters{
 		bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -64,7 +64,7 @@
 	c.messages.WithLabelValues(string(mechanism), direction).Inc()
 }
 
-// PeerBytes counts a frame of the peer protocol; it fills peer.Observer.
+// PeerBytes counts a frame of the peer protocol; it implements peer.Observer.
 func (c *Counters) PeerBytes(method string, sentBytes, receivedBytes int) {
 	mechanism := mechanismOf(method)
 	if sentBytes > 0 {
@@ -96,7 +96,7 @@
 	return Data
 }
 
-// MechanismOfStream tells which mechanism a log stream serves.
+// MechanismOfStream returns the mechanism to which a log stream belongs.
 func MechanismOfStream(stream string) Mechanism {
 	switch {
 	case strings.HasPrefix(stream, "bundles"):
--- a/internal/accounting/log.go
+++ b/internal/accounting/log.go
@@ -6,16 +6,16 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// entryOverhead is about what a log entry or call costs beside its payload, in bytes.
+// entryOverhead is the approximate size of a log entry or call beside its payload, in bytes.
 const entryOverhead = 16
 
-// Log counts the traffic with the platform's log.
+// Log wraps the platform's log and counts the traffic with it.
 type Log struct {
 	Next     platform.Log
 	Counters *Counters
 }
 
-// Append counts the payloads and the answer.
+// Append appends to the log, and counts the payloads and the answer.
 func (l Log) Append(ctx context.Context, stream string, payloads [][]byte) (int64, error) {
 	mechanism := MechanismOfStream(stream)
 	l.Counters.Sent(mechanism, len(stream)+payloadBytes(payloads))
@@ -24,7 +24,7 @@
 	return offset, err
 }
 
-// Read counts the question and the entries.
+// Read reads from the log, and counts the request and the entries.
 func (l Log) Read(ctx context.Context, stream string, offset int64, options platform.ReadOptions) (platform.ReadResult, error) {
 	mechanism := MechanismOfStream(stream)
 	l.Counters.Sent(mechanism, len(stream)+entryOverhead)
--- a/internal/accounting/platform.go
+++ b/internal/accounting/platform.go
@@ -7,13 +7,13 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// MachineList counts reads of the machine list.
+// MachineList wraps the platform's machine list and counts its reads.
 type MachineList struct {
 	Next     platform.MachineList
 	Counters *Counters
 }
 
-// List counts the lines of the list by the bytes of their fields.
+// List returns the machine list, and counts its lines by the size of their fields.
 func (l MachineList) List(ctx context.Context) ([]platform.Machine, error) {
 	l.Counters.Sent(Machines, entryOverhead)
 	list, err := l.Next.List(ctx)
@@ -26,18 +26,18 @@
 	return list, err
 }
 
-// EngineDialer counts the control calls of the engines that it opens.
+// EngineDialer wraps the platform's dialer and counts the control calls to engines that it opens.
 type EngineDialer struct {
 	Next     platform.EngineDialer
 	Counters *Counters
 }
 
-// Engine opens the engine at address.
+// Engine returns the engine at address.
 func (d EngineDialer) Engine(address string) platform.Engine {
 	return engine{Engine: d.Next.Engine(address), counters: d.Counters}
 }
 
-// engine counts calls that are control work; streams of tokens are data and not counted here.
+// engine counts control calls; token streams are data traffic and not counted here.
 type engine struct {
 	platform.Engine
 	counters *Counters
