--- a/internal/eventrun/eventrun.go
+++ b/internal/eventrun/eventrun.go
@@ -21,8 +21,8 @@
 
 // Endings of a run.
 const (
-	// EndedWhole means that the stream ended normally.
-	EndedWhole Ending = iota
+	// EndedComplete means that the stream ended normally.
+	EndedComplete Ending = iota
 	// EndedNotRun means that the engine did not run the request.
 	EndedNotRun
 	// EndedFailed means that the engine answered with an error.
@@ -146,7 +146,7 @@
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			return Result{Ending: EndedWhole, Events: passed}
+			return Result{Ending: EndedComplete, Events: passed}
 		}
 		if err == nil && event.ID != last+1 {
 			err = errOutOfSequence
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -131,7 +131,7 @@
 	if !f.started {
 		return f.catchUp(ctx)
 	}
-	span := keyedlog.Span{From: f.next, Wait: f.config.Wait, Bytes: f.config.Bytes}
+	span := keyedlog.Span{From: f.next, Wait: f.config.Wait, MaxBytes: f.config.Bytes}
 	if !f.inStep() {
 		// Ask what there is, so that the process learns at once that it is in step, or that the store is back.
 		span.Wait = 0
@@ -140,7 +140,7 @@
 		f.backlog.begin()
 	}
 	if bound := f.backlog.left(); bound > 0 {
-		span.Bytes = bound
+		span.MaxBytes = bound
 	}
 	batch, err := f.config.Log.Read(ctx, f.config.Partition, span)
 	if errors.Is(err, keyedlog.ErrTrimmed) {
--- a/internal/follow/span.go
+++ b/internal/follow/span.go
@@ -22,7 +22,7 @@
 // kept applies the records of a range, if the store has not dropped any of them.
 func kept(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, from, to int64, size int, applier Applier) error {
 	for from < to {
-		batch, err := log.Read(ctx, partition, keyedlog.Span{From: from, Bytes: size})
+		batch, err := log.Read(ctx, partition, keyedlog.Span{From: from, MaxBytes: size})
 		if err != nil {
 			return err
 		}
--- a/internal/follow/span_test.go
+++ b/internal/follow/span_test.go
@@ -24,7 +24,7 @@
 type slowLog struct{ keyedlog.Log }
 
 func (l slowLog) Read(ctx context.Context, partition keyedlog.Partition, span keyedlog.Span) (keyedlog.Batch, error) {
-	span.Bytes = 5
+	span.MaxBytes = 5
 	return l.Log.Read(ctx, partition, span)
 }
 
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -171,11 +171,11 @@
 func (s *streamExchange) take(engine fleet.Engine, result eventrun.Result) (Answer, bool) {
 	directory := s.forwarder.config.Directory
 	s.cause = ""
-	if result.Ending != eventrun.EndedWhole {
+	if result.Ending != eventrun.EndedComplete {
 		s.cause = result.Ending.String()
 	}
 	switch result.Ending {
-	case eventrun.EndedWhole:
+	case eventrun.EndedComplete:
 		directory.Succeeded(engine.ID, 0)
 		s.forwarder.config.Quarantine.Answered(s.request.Call)
 		return s.answer(Answered, engine), true
--- a/internal/jobrun/execution.go
+++ b/internal/jobrun/execution.go
@@ -136,7 +136,7 @@
 	finished := time.Now()
 	e.markFinished()
 	e.runner.writer.list(e.view.Spec.ID, result, func() {
-		e.runner.config.Measures.listed(time.Since(finished))
+		e.runner.config.Metrics.listed(time.Since(finished))
 		e.runner.config.Logger.Info("item listed", "job", e.view.Spec.ID, "item", e.item.ID, "dead", result.Dead,
 			"group", e.item.Group, "versions", result.Versions, "events", len(e.events), "engine", e.engine.ID,
 			"after_last_event", e.sinceLastEvent().Round(time.Millisecond),
@@ -354,7 +354,7 @@
 }
 
 func (e *execution) recordEvent(now time.Time) {
-	measures := e.runner.config.Measures
+	measures := e.runner.config.Metrics
 	if len(e.events) == 0 {
 		measures.firstEvent(now.Sub(e.view.AcceptedAt))
 	}
--- a/internal/jobrun/judge.go
+++ b/internal/jobrun/judge.go
@@ -15,7 +15,7 @@
 // complete; an item that is done but not complete is abandoned.
 func (e *execution) handleEnding(ctx context.Context, route catalog.Route, result eventrun.Result) (done, complete bool) {
 	directory := e.runner.config.Directory
-	if result.Ending != eventrun.EndedWhole && ctx.Err() == nil {
+	if result.Ending != eventrun.EndedComplete && ctx.Err() == nil {
 		e.runner.config.Logger.Info("run ended early", "job", e.view.Spec.ID, "item", e.item.ID, "engine", e.engine.ID,
 			"ending", result.Ending, "status", result.Status, "error", result.Err, "events", len(e.events),
 			"version", e.currentVersion)
@@ -23,7 +23,7 @@
 	e.runEndedAt = time.Now()
 	e.exclude, e.rejected = nil, false
 	switch result.Ending {
-	case eventrun.EndedWhole:
+	case eventrun.EndedComplete:
 		directory.Succeeded(e.engine.ID, 0)
 		e.runner.config.Quarantine.Answered(e.call())
 		e.runner.recordLength(e.item.LengthHint, len(e.events))
--- a/internal/jobrun/measures.go
+++ b/internal/jobrun/measures.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Measures holds the callbacks to which runners report durations. A nil field is not called.
-type Measures struct {
+// Metrics holds the callbacks to which runners report durations. A nil field is not called.
+type Metrics struct {
 	// FirstEvent is the time from a job's acceptance to the first event of an item.
 	FirstEvent func(time.Duration)
 	// Listed is the time from an item's last event to its listing.
@@ -12,19 +12,19 @@
 	Resumed func(time.Duration)
 }
 
-func (m *Measures) firstEvent(d time.Duration) {
+func (m *Metrics) firstEvent(d time.Duration) {
 	if m != nil && m.FirstEvent != nil {
 		m.FirstEvent(d)
 	}
 }
 
-func (m *Measures) listed(d time.Duration) {
+func (m *Metrics) listed(d time.Duration) {
 	if m != nil && m.Listed != nil {
 		m.Listed(d)
 	}
 }
 
-func (m *Measures) resumed(d time.Duration) {
+func (m *Metrics) resumed(d time.Duration) {
 	if m != nil && m.Resumed != nil {
 		m.Resumed(d)
 	}
--- a/internal/jobrun/runner.go
+++ b/internal/jobrun/runner.go
@@ -54,7 +54,7 @@
 	Limits     Limits
 	// Retention is how long a job is kept after its submission.
 	Retention time.Duration
-	Measures  *Measures
+	Metrics   *Metrics
 	Logger    *log.Logger
 }
 
--- a/internal/jobs/item.go
+++ b/internal/jobs/item.go
@@ -80,7 +80,7 @@
 
 // record reads the record at an offset.
 func (s *Service) record(ctx context.Context, entry job.Entry, offset int64, size int) (keyedlog.Record, error) {
-	batch, err := s.config.Log.Read(ctx, partitionOf(entry), keyedlog.Span{From: offset, Bytes: size})
+	batch, err := s.config.Log.Read(ctx, partitionOf(entry), keyedlog.Span{From: offset, MaxBytes: size})
 	if err != nil {
 		return keyedlog.Record{}, err
 	}
--- a/internal/jobs/thinlink_test.go
+++ b/internal/jobs/thinlink_test.go
@@ -23,8 +23,8 @@
 
 // Read reads, and lets the answer take its time on the link.
 func (l *thinLink) Read(ctx context.Context, partition keyedlog.Partition, span keyedlog.Span) (keyedlog.Batch, error) {
-	if span.Bytes == 0 {
-		span.Bytes = 1 << 20
+	if span.MaxBytes == 0 {
+		span.MaxBytes = 1 << 20
 	}
 	batch, err := l.Log.Read(ctx, partition, span)
 	if err != nil {
--- a/internal/keyedlog/keyedlog.go
+++ b/internal/keyedlog/keyedlog.go
@@ -56,13 +56,13 @@
 
 // SequenceError means that a fenced append did not have the sequence number that follows the writer's last append.
 type SequenceError struct {
-	// Wanted is the sequence number that the partition expects next.
-	Wanted int64
+	// Expected is the sequence number that the partition expects next.
+	Expected int64
 }
 
 // Error returns a message with the expected sequence number.
 func (e *SequenceError) Error() string {
-	return fmt.Sprintf("store: append is out of sequence, expected %d", e.Wanted)
+	return fmt.Sprintf("store: append is out of sequence, expected %d", e.Expected)
 }
 
 // Record is one record of a partition.
@@ -97,9 +97,9 @@
 	From int64
 	// Wait is how long the store may hold the read open for a first record.
 	Wait time.Duration
-	// Bytes is the approximate maximum size of the result, 0 for the store's own limit. At least one record is returned if there
+	// MaxBytes is the approximate maximum size of the result, 0 for the store's own limit. At least one record is returned if there
 	// is one.
-	Bytes int
+	MaxBytes int
 }
 
 // Batch is the result of a read.
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -56,8 +56,8 @@
 	m.weights.Observe(took.Seconds())
 }
 
-func (m *metrics) measures() *jobrun.Measures {
-	return &jobrun.Measures{
+func (m *metrics) measures() *jobrun.Metrics {
+	return &jobrun.Metrics{
 		FirstEvent: observer(m.firstEvent), Listed: observer(m.listed), Resumed: observer(m.resumed),
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -124,7 +124,7 @@
 		Log: config.Log, Index: r.index, IndexFollower: indexFollower, Catalog: r.catalog, CatalogFollower: operator,
 		Splitter: splitter, Directory: r.directory, Queue: r.queue, Client: config.Client, Forwarder: forwarder,
 		Quarantine: r.quarantine, Zone: config.Settings.Zone, Limits: jobrun.Limits{RecordBytes: config.RecordBytes, CallBytes: config.CallBytes},
-		Retention: config.Settings.Retention, Measures: r.metrics.measures(), Logger: config.Logger,
+		Retention: config.Settings.Retention, Metrics: r.metrics.measures(), Logger: config.Logger,
 	})
 	rollers := weightroll.NewHolder(weightroll.Config{
 		Log: config.Log, Followers: convert[weightroll.Follower](r.weights), Board: board, Catalog: r.catalog,
--- a/internal/standin/memorylog/memorylog.go
+++ b/internal/standin/memorylog/memorylog.go
@@ -248,7 +248,7 @@
 		return answer, true, nil
 	}
 	if fence.Sequence != line.next {
-		return keyedlog.Appended{}, false, &keyedlog.SequenceError{Wanted: line.next}
+		return keyedlog.Appended{}, false, &keyedlog.SequenceError{Expected: line.next}
 	}
 	return keyedlog.Appended{}, false, nil
 }
@@ -334,7 +334,7 @@
 		first, end := found.first, found.end()
 		var records []keyedlog.Record
 		if from >= first && from < end {
-			records = slices.Clone(upTo(found.records[from-first:], span.Bytes))
+			records = slices.Clone(upTo(found.records[from-first:], span.MaxBytes))
 		}
 		v.store.mutex.Unlock()
 		if from < first {
--- a/internal/storetimeout/log.go
+++ b/internal/storetimeout/log.go
@@ -155,13 +155,13 @@
 	ctx context.Context, partition keyedlog.Partition, span keyedlog.Span,
 ) (keyedlog.Batch, error) {
 	known := l.readsOf(partition.Topic)
-	span.Bytes = known.window.size(span.Bytes)
+	span.MaxBytes = known.window.size(span.MaxBytes)
 	batch, err := l.readWithin(ctx, known, partition, span)
 	switch {
 	case err == nil:
 		known.window.answered(batchBytes(batch))
 	case ctx.Err() == nil && errors.Is(err, context.DeadlineExceeded):
-		known.window.expired(span.Bytes)
+		known.window.expired(span.MaxBytes)
 	}
 	return batch, err
 }
