--- a/internal/jobrun/decline_test.go
+++ b/internal/jobrun/decline_test.go
@@ -78,7 +78,7 @@
 
 // TestSingleVersionItemRestartsOnFreeEngine interrupts an item whose result must have one weight version. The only engine that
 // still serves the version of its text rejects it for a long time, while another engine is free. The item used to wait for the
-// first engine for as long as that engine was known.
+// first engine for as long as that engine was in the directory.
 func TestSingleVersionItemRestartsOnFreeEngine(t *testing.T) {
 	const allowed = 5 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -103,7 +103,7 @@
 }
 
 // TestSingleVersionItemResumesWhenOthersAreFull interrupts an item whose result must have one weight version. Its engine
-// rejects it for 4 s; the other engine serves another version and is full with work of another process, which reports its slots
+// rejects it for 4 s; the other engine serves another version and is full of work of another process, which reports its slots
 // all the time. The item must resume its text on its engine, since starting over would not be faster.
 func TestSingleVersionItemResumesWhenOthersAreFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/jobrun/ejection_test.go
+++ b/internal/jobrun/ejection_test.go
@@ -13,7 +13,7 @@
 
 // TestItemsAvoidEjectedEngine runs twelve items on an engine with four slots and one that is down. The engine that is down must
 // be ejected, all items must complete on the other one, and the first item that runs on the ejected engine after its return
-// must reinstate it.
+// must cause its readmission.
 func TestItemsAvoidEjectedEngine(t *testing.T) {
 	const events = 100
 	synctest.Test(t, func(t *testing.T) {
@@ -22,10 +22,10 @@
 		good := memoryengine.Behaviour{Pace: pace}
 		w.engines.Behave("model1", memoryengine.Behaviour{Down: true})
 		owner := w.newNode("owner")
-		ejections, reinstated := 0, 0
+		ejections, readmitted := 0, 0
 		owner.directory.OnEjection(func(ejection fleet.Ejection) {
 			if ejection.TakenBack {
-				reinstated++
+				readmitted++
 			} else {
 				ejections++
 			}
@@ -38,7 +38,7 @@
 		is.Equal(owner.directory.Ejected(), 1)
 		is.True(ejections >= 2) // the first ejection and failed trials
 		is.True(ejections <= 5)
-		is.Equal(reinstated, 0)
+		is.Equal(readmitted, 0)
 		w.engines.Behave("model1", good)
 		time.Sleep(20 * time.Second)
 		results := owner.results(first.ID)
@@ -49,6 +49,6 @@
 		w.submit(hintedSpec("back", 12, events))
 		time.Sleep(20 * time.Second)
 		is.Equal(owner.directory.Ejected(), 0)
-		is.Equal(reinstated, 1)
+		is.Equal(readmitted, 1)
 	})
 }
--- a/internal/jobrun/execution.go
+++ b/internal/jobrun/execution.go
@@ -354,12 +354,12 @@
 }
 
 func (e *execution) recordEvent(now time.Time) {
-	measures := e.runner.config.Metrics
+	metrics := e.runner.config.Metrics
 	if len(e.events) == 0 {
-		measures.firstEvent(now.Sub(e.view.AcceptedAt))
+		metrics.firstEvent(now.Sub(e.view.AcceptedAt))
 	}
 	if !e.runEndedAt.IsZero() {
-		measures.resumed(now.Sub(e.runEndedAt))
+		metrics.resumed(now.Sub(e.runEndedAt))
 		e.runEndedAt = time.Time{}
 	}
 	if e.lastEventAt.IsZero() {
