--- a/internal/jobs/thinlink_test.go
+++ b/internal/jobs/thinlink_test.go
@@ -23,8 +23,8 @@
 
 // Read reads records and waits for their transfer over the link.
 func (l *slowLink) Read(ctx context.Context, partition keyedlog.Partition, span keyedlog.Span) (keyedlog.Batch, error) {
-	if span.Bytes == 0 {
-		span.Bytes = 1 << 20
+	if span.MaxBytes == 0 {
+		span.MaxBytes = 1 << 20
 	}
 	batch, err := l.Log.Read(ctx, partition, span)
 	if err != nil {
