--- a/internal/fleet/cold.go
+++ b/internal/fleet/cold.go
@@ -5,10 +5,12 @@
 	"time"
 )
 
-// coldWindow is the span in which the work that begins at a cold engine is counted: a second, and a tenth for the ways of its requests.
+// coldWindow is the window in which starts of work at a cold engine are counted: one second plus a tenth for request
+// latency.
 const coldWindow = 1100 * time.Millisecond
 
-// SetColdRate says how many requests a second an engine of a pool bears while it is cold, from all processes together; 0 for no bound.
+// SetColdRate sets how many requests per second an engine of a pool can start while it is cold, from all processes
+// together; 0 means no limit.
 func (d *Directory) SetColdRate(pool string, perS float64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -19,29 +21,31 @@
 	}
 }
 
-// spared tells whether a cold engine takes none of a piece of work. One process alone may give it any: the one that runs the jobs of the
-// model that the engine is kept up to date for, at the rate that the engine bears, so that processes need not agree. For single requests,
-// which come to all processes, there are warm engines. The mutex must be held.
-func (d *Directory) spared(found *entry, want Want, now time.Time) bool {
+// coldLimited reports whether a cold engine takes no more work of this kind now. Only one process may send it any: the
+// one that runs the jobs of the model that the engine is assigned to. It uses the whole rate of the engine, so that
+// processes need not coordinate. Single requests, which arrive at all processes, use warm engines. The mutex must be
+// held.
+func (d *Directory) coldLimited(found *entry, want Want, now time.Time) bool {
 	rate := d.coldRates[found.engine.Pool]
 	if rate == 0 || !now.Before(found.engine.ColdUntil) {
 		return false
 	}
-	dealt := d.dealt[found.engine.Pool][found.engine.ID]
-	return want.Model == "" || dealt != want.Model || len(found.recent(now)) >= max(1, int(rate))
+	assigned := d.assigned[found.engine.Pool][found.engine.ID]
+	return want.Model == "" || assigned != want.Model || len(found.startsInWindow(now)) >= max(1, int(rate))
 }
 
-// recent returns when work began at an engine within the last coldWindow, and forgets what began before.
-func (e *entry) recent(now time.Time) []time.Time {
-	e.began = slices.DeleteFunc(e.began, func(at time.Time) bool { return now.Sub(at) >= coldWindow })
-	return e.began
+// startsInWindow returns the times within the last coldWindow at which work started at an engine, and removes older
+// ones.
+func (e *entry) startsInWindow(now time.Time) []time.Time {
+	e.recentStarts = slices.DeleteFunc(e.recentStarts, func(at time.Time) bool { return now.Sub(at) >= coldWindow })
+	return e.recentStarts
 }
 
-// noteBegin notes that work begins at an engine, and tells whether that is cold. The mutex must be held.
-func (d *Directory) noteBegin(found *entry, now time.Time) bool {
+// recordStart records that work starts at an engine, and reports whether the engine is cold. The mutex must be held.
+func (d *Directory) recordStart(found *entry, now time.Time) bool {
 	if d.coldRates[found.engine.Pool] == 0 || !now.Before(found.engine.ColdUntil) {
 		return false
 	}
-	found.began = append(found.recent(now), now)
+	found.recentStarts = append(found.startsInWindow(now), now)
 	return true
 }
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -8,71 +8,72 @@
 	"github.com/matryer/is"
 )
 
-// TestAColdEngineGetsNoMoreThanItBears has three owners of jobs and a replica with requests press a cold engine, one after the other as
-// partitions move. In no second may it get more than it bears, allowing for a takeover; warm, it gets all its places.
-func TestAColdEngineGetsNoMoreThanItBears(t *testing.T) {
+// TestColdEngineStartRateIsBounded lets three owners of jobs and a replica with requests send as much as possible to a
+// cold engine, the owners one after the other as partitions move. In no second may the engine start more than its rate,
+// with an allowance for a takeover. Once it is warm, all its slots are used.
+func TestColdEngineStartRateIsBounded(t *testing.T) {
 	const (
 		rate     = 8.6
-		most     = rate*1.5 + 5
+		limit    = rate*1.5 + 5
 		coldFor  = 3 * time.Second
 		takeover = 1500 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		began := time.Now()
+		start := time.Now()
 		process := func() *Directory {
 			d := NewDirectory()
 			d.SetColdRate("p", rate)
-			d.Upsert(Engine{ID: "cold", Pool: "p", Slots: 8, Versions: map[string]int64{"a": 1, "b": 1}, ColdUntil: began.Add(coldFor)})
+			d.Upsert(Engine{ID: "cold", Pool: "p", Slots: 8, Versions: map[string]int64{"a": 1, "b": 1}, ColdUntil: start.Add(coldFor)})
 			d.SetDealt("p", map[string]string{"cold": "a"})
 			return d
 		}
-		before, after, other, front := process(), process(), process(), process()
-		var arrivals []time.Time
-		press := func(d *Directory, want Want) {
+		firstOwner, secondOwner, otherOwner, replica := process(), process(), process(), process()
+		var starts []time.Time
+		acquireAll := func(d *Directory, want Want) {
 			for range 20 {
 				engine, ok := d.Acquire(want)
 				if !ok {
 					return
 				}
-				arrivals = append(arrivals, time.Now())
+				starts = append(starts, time.Now())
 				d.Release(engine.ID)
 			}
 		}
-		ofA, ofB := Want{Pool: "p", Model: "a", Share: 1}, Want{Pool: "p", Model: "b", Share: 1, Since: began}
-		for time.Since(began) < coldFor {
-			owner := before
-			if time.Since(began) >= takeover {
-				owner = after
+		ofA, ofB := Want{Pool: "p", Model: "a", Share: 1}, Want{Pool: "p", Model: "b", Share: 1, Since: start}
+		for time.Since(start) < coldFor {
+			owner := firstOwner
+			if time.Since(start) >= takeover {
+				owner = secondOwner
 			}
 			for _, engine := range owner.Assign([]Want{ofA, ofA, ofA, ofA, ofA, ofA, ofA, ofA}) {
 				if engine.ID != "" {
-					arrivals = append(arrivals, time.Now())
+					starts = append(starts, time.Now())
 					owner.Release(engine.ID)
 				}
 			}
-			press(owner, ofA)
-			press(other, ofB)
-			press(front, Want{Pool: "p"})
+			acquireAll(owner, ofA)
+			acquireAll(otherOwner, ofB)
+			acquireAll(replica, Want{Pool: "p"})
 			time.Sleep(20 * time.Millisecond)
 		}
-		is.True(float64(len(arrivals)) >= 2*rate-1)
-		for i, from := range arrivals {
+		is.True(float64(len(starts)) >= 2*rate-1)
+		for i, from := range starts {
 			within := 0
-			for _, at := range arrivals[i:] {
+			for _, at := range starts[i:] {
 				if at.Sub(from) <= time.Second {
 					within++
 				}
 			}
-			is.True(float64(within) <= most)
+			is.True(float64(within) <= limit)
 		}
-		_, ok := front.Acquire(Want{Pool: "p"})
+		_, ok := replica.Acquire(Want{Pool: "p"})
 		is.True(ok)
 	})
 }
 
-// TestAnEvacuatedZoneGetsNothingNew evacuates a zone and takes it back, with an engine that comes meanwhile.
-func TestAnEvacuatedZoneGetsNothingNew(t *testing.T) {
+// TestEvacuatedZoneGetsNoNewWork evacuates a zone and ends the evacuation; one engine joins the zone in between.
+func TestEvacuatedZoneGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory()
 	d.Upsert(Engine{ID: "a1", Pool: "p", Zone: "a", Slots: 8, Versions: map[string]int64{"m": 1}})
--- a/internal/fleet/ejection.go
+++ b/internal/fleet/ejection.go
@@ -6,24 +6,26 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// Ejection is an event of an engine's circuit breaker: the engine was ejected, or taken back.
+// Ejection is a state change of an engine's circuit breaker: the engine was ejected or readmitted.
 type Ejection struct {
 	EngineID string
-	// TakenBack says that the engine takes work again, false that it was ejected.
+	// TakenBack means that the engine takes work again; otherwise it was ejected.
 	TakenBack bool
-	// Cause says why the last piece of work failed; Lasts is how long nothing is sent to the engine. Both are empty if it was taken back.
+	// Cause is the reason why the last piece of work failed; Lasts is how long nothing is sent to the engine. Both are
+	// empty for a readmission.
 	Cause string
 	Lasts time.Duration
-	// Failures counts failures since the engine's last whole answer.
+	// Failures is the number of failures since the engine's last complete response.
 	Failures int
 }
 
-// OnEjection sets the function to call after each ejection, without a lock held. It must be called before the directory is used.
+// OnEjection sets the function to call after each ejection or readmission, without a lock held. It must be called before
+// the directory is used.
 func (d *Directory) OnEjection(call func(Ejection)) {
 	d.onEjection = call
 }
 
-// Ejected counts the engines that were ejected and have not been taken back.
+// Ejected returns the number of engines that were ejected and not readmitted yet.
 func (d *Directory) Ejected() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -50,19 +52,20 @@
 	}
 }
 
-// begin counts a piece of work at an engine, and returns whether the engine may take less now than its places show: the work is a trial, or
-// the engine is cold. The mutex must be held.
+// begin counts a piece of work at an engine, and reports whether the engine may now take less than its free slots
+// suggest: the work is a trial, or the engine is cold. The mutex must be held.
 func (d *Directory) begin(engine Engine, want Want, now time.Time) bool {
 	found := d.engines[engine.ID]
-	if want.probing && !hasPlace(found.inFlight+d.peers.held[engine.ID], Candidate{Engine: engine}, want) {
+	if want.probing && !withinShare(found.inFlight+d.peers.held[engine.ID], Candidate{Engine: engine}, want) {
 		d.peers.probedAt = now
 	}
 	found.inFlight++
-	cold := d.noteBegin(found, now)
+	cold := d.recordStart(found, now)
 	return found.breaker.Begin(now) || cold
 }
 
-// Failed records that an engine failed a piece of work, and why. The engine is tried last for a while, or not at all if that ejects it.
+// Failed records that an engine failed a piece of work, and why. The engine becomes the last choice for a while, or gets
+// no work if the failure ejects it.
 func (d *Directory) Failed(id string, failure policy.Failure, cause string) {
 	now := time.Now()
 	d.mutex.Lock()
@@ -77,23 +80,24 @@
 	if lasts == 0 {
 		return
 	}
-	// The trial decides when the engine is asked again.
+	// The trial decides when the engine gets work again.
 	found.avoidUntil = time.Time{}
 	d.pendingEjections = append(d.pendingEjections, Ejection{EngineID: id, Cause: cause, Lasts: lasts, Failures: found.failures})
 }
 
-// Answered records that an engine began to answer work that was sent at sentAt. An ejected engine is taken back if that was its trial.
+// Answered records that an engine began to respond to work that was sent at sentAt. An ejected engine is readmitted if
+// that was its trial.
 func (d *Directory) Answered(id string, sentAt time.Time) {
 	d.mutex.Lock()
 	defer d.unlock()
 	if found, ok := d.engines[id]; ok {
 		if found.breaker.Answer(sentAt, time.Now()) {
-			d.takeBack(found)
+			d.readmit(found)
 		}
 	}
 }
 
-// Succeeded records a whole answer and how long it took, 0 for a stream.
+// Succeeded records a complete response and its latency, 0 for a stream.
 func (d *Directory) Succeeded(id string, latency time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -107,13 +111,13 @@
 	found.latency = smooth(found.latency, latency)
 }
 
-// TurnedAway records that an engine answered that it does not run a piece of work. It may run other work.
+// TurnedAway records that an engine rejected a piece of work. It may accept other work.
 func (d *Directory) TurnedAway(id string) {
 	d.Answered(id, time.Now())
 }
 
-// takeBack records that an engine takes work again. The mutex must be held.
-func (d *Directory) takeBack(found *entry) {
+// readmit records that an engine takes work again. The mutex must be held.
+func (d *Directory) readmit(found *entry) {
 	d.pendingEjections = append(d.pendingEjections, Ejection{EngineID: found.engine.ID, TakenBack: true, Failures: found.failures})
 	d.changed.Notify()
 }
--- a/internal/fleet/ejection_test.go
+++ b/internal/fleet/ejection_test.go
@@ -11,7 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// owner plays an owner of items over a directory: it asks for engines for all that wait, and has a look again as often as queues do.
+// owner simulates an owner of items with a directory: it requests engines for all waiting items, at the interval of the
+// queues.
 type owner struct {
 	directory *fleet.Directory
 	waiting   int
@@ -23,23 +24,23 @@
 	for i := range wants {
 		wants[i] = want
 	}
-	var given []fleet.Engine
+	var engines []fleet.Engine
 	for _, engine := range o.directory.Assign(wants) {
 		if engine.ID == "" {
 			continue
 		}
 		o.waiting--
 		o.sent[engine.ID]++
-		given = append(given, engine)
+		engines = append(engines, engine)
 	}
-	return given
+	return engines
 }
 
-// TestGoneEngineIsNotHammered has 60 items wait before ten engines that are full and one that refuses connections and so always has room.
-// Each item that was refused waits again after 50 ms, as items do. Where nothing is ejected, 640 runs are sent to the gone engine in 4 s;
-// here 11: one for each of its places, and trials at 0.3, 0.9 and 2.1 s. As the full engines' runs end, all items get places. A run's place
-// is given back before its failure is told, as owners do.
-func TestGoneEngineIsNotHammered(t *testing.T) {
+// TestUnreachableEngineGetsOnlyTrials has 60 items wait for ten full engines and one engine that refuses connections and
+// so always has free slots. Each refused item waits again after 50 ms, as items do. Without ejection, 640 runs are sent
+// to the unreachable engine in 4 s; with it 11: one for each of its slots, and trials at 0.3, 0.9 and 2.1 s. As runs on
+// the full engines end, all items get slots. A run's slot is released before its failure is reported, as owners do.
+func TestUnreachableEngineGetsOnlyTrials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := fleet.NewDirectory()
@@ -52,8 +53,8 @@
 		is.Equal(len(full), 80)
 		directory.Upsert(fleet.Engine{ID: "gone", Pool: "p", Slots: 8})
 		o.waiting = 60
-		play := func(lasts time.Duration, placed func(fleet.Engine)) {
-			for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		simulate := func(duration time.Duration, placed func(fleet.Engine)) {
+			for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 				for _, engine := range o.assign(want) {
 					if engine.ID != "gone" {
 						placed(engine)
@@ -65,21 +66,21 @@
 				}
 			}
 		}
-		play(4*time.Second, func(fleet.Engine) {})
+		simulate(4*time.Second, func(fleet.Engine) {})
 		is.True(o.sent["gone"] > 8) // it is tried again
 		is.True(o.sent["gone"] <= 8+4)
 		is.Equal(directory.Ejected(), 1)
 
-		// 60 of the runs end; the items that waited take their places.
+		// 60 of the runs end; the waiting items get their slots.
 		for _, engine := range full[:60] {
 			directory.Release(engine.ID)
 		}
-		play(100*time.Millisecond, func(fleet.Engine) {})
+		simulate(100*time.Millisecond, func(fleet.Engine) {})
 		is.Equal(o.waiting, 0)
 	})
 }
 
-// ejected returns a directory over engines of which some were ejected.
+// ejected returns a directory with a number of engines of which some were ejected.
 func ejected(engines int, gone ...string) *fleet.Directory {
 	directory := fleet.NewDirectory()
 	for i := range engines {
@@ -91,14 +92,14 @@
 	return directory
 }
 
-// TestOneTrialAtATime checks that one piece of work of all that wait is sent to an engine whose ejection is over, of whatever kind they
-// are, and the rest once it has shown that it does its work.
+// TestOneTrialAtATime checks that one piece of work, whatever its kind, is sent to an engine whose ejection is over, and
+// further work only once the engine has responded.
 func TestOneTrialAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := ejected(3, "0")
-		var told []fleet.Ejection
-		directory.OnEjection(func(ejection fleet.Ejection) { told = append(told, ejection) })
+		var events []fleet.Ejection
+		directory.OnEjection(func(ejection fleet.Ejection) { events = append(events, ejection) })
 		m := fleet.Want{Pool: "p", Model: "m", Share: 1}
 		n := fleet.Want{Pool: "p", Model: "n", Share: 1}
 		placed := func(wants ...fleet.Want) int {
@@ -117,18 +118,18 @@
 		_, found := directory.Acquire(m)
 		is.True(!found)
 		directory.Answered("0", time.Now().Add(-time.Millisecond))
-		is.Equal(placed(m, n), 0) // an older run says nothing of the trial
+		is.Equal(placed(m, n), 0) // an older run is not the trial
 		directory.Answered("0", time.Now())
-		is.Equal(placed(m, n), 1) // its second place
+		is.Equal(placed(m, n), 1) // its second slot
 		is.Equal(directory.Ejected(), 0)
-		is.Equal(len(told), 1)
-		is.True(told[0].TakenBack)
+		is.Equal(len(events), 1)
+		is.True(events[0].TakenBack)
 	})
 }
 
-// TestWorkThatMustNotRunTwiceIsNoTrial checks that such work leaves trials to other work, but not for ever, and that it goes to an ejected
-// engine where there is hardly another.
-func TestWorkThatMustNotRunTwiceIsNoTrial(t *testing.T) {
+// TestNoTrialWorkIsNotSentAsTrial checks that work which must not be repeated leaves trials to other work, but not
+// indefinitely, and that it is sent to an ejected engine where hardly any other is left.
+func TestNoTrialWorkIsNotSentAsTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		want := fleet.Want{Pool: "p", Exclude: []string{"1"}, NoTrial: true}
@@ -148,9 +149,9 @@
 	})
 }
 
-// TestWhereMostEnginesAreEjectedNoneIs checks that work has an engine to try when more than half of those fit for it fail, and that a
-// success there counts: the link of whoever asks is the likelier fault.
-func TestWhereMostEnginesAreEjectedNoneIs(t *testing.T) {
+// TestEjectionsOfMostEnginesAreIgnored checks that work can try an engine when more than half of those fit for it fail,
+// since then the network link of this process is the likelier fault, and that a success there counts.
+func TestEjectionsOfMostEnginesAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		want := fleet.Want{Pool: "p", Model: "m", Share: 1}
@@ -173,10 +174,11 @@
 	})
 }
 
-// TestEnginesAreTakenBackUnderLoad has all of four engines fail at once, as when the link of whoever asks is lost, and three of them answer
-// again from then on. Three requests come every 20 ms and are answered after 100 ms, so that there is always newer work than what is
-// answered; one that is refused is sent to another engine. The three are taken back, and the one that is gone gets trials alone.
-func TestEnginesAreTakenBackUnderLoad(t *testing.T) {
+// TestEnginesAreReadmittedUnderLoad has all of four engines fail at once, as when the network link of this process is
+// lost; three of them respond again from then on. Three requests arrive every 20 ms and are answered after 100 ms, so
+// that there is always work newer than the last response; a refused request is sent to another engine. The three engines
+// must be readmitted, and the unreachable one must get only trials.
+func TestEnginesAreReadmittedUnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := ejected(4, "0", "1", "2", "3")
@@ -210,9 +212,9 @@
 	})
 }
 
-// TestGoneEnginesAreNotHammeredWhereMostAre has 20 items wait before two engines that are full and three that refuse connections. That these are
-// more than a half sends no work there while the others do theirs: the gone ones get their first runs, and trials.
-func TestGoneEnginesAreNotHammeredWhereMostAre(t *testing.T) {
+// TestUnreachableMajorityGetsOnlyTrials has 20 items wait for two full engines and three that refuse connections.
+// Although these are more than half, they must get only their first runs and trials while the others work.
+func TestUnreachableMajorityGetsOnlyTrials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := fleet.NewDirectory()
@@ -237,13 +239,13 @@
 			is.True(o.sent[fmt.Sprint("gone", i)] <= 8+4)
 		}
 		_, found := directory.Acquire(fleet.Want{Pool: "p", Share: 1, Exclude: []string{"live0", "live1"}})
-		is.True(found) // where none else may run it
+		is.True(found) // where no other engine may run it
 	})
 }
 
-// TestEnginesThatAreFullAreNotGone checks that engines that load or turned work away count as fit: with them left out, a refused engine
-// among a few live ones that are full would be asked for its free places alone.
-func TestEnginesThatAreFullAreNotGone(t *testing.T) {
+// TestLoadingAndExcludedEnginesCountAsFit checks that engines that load or rejected the work count as fit. Otherwise an
+// ejected engine beside a few live engines that are full would get work only because its slots are free.
+func TestLoadingAndExcludedEnginesCountAsFit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := ejected(4, "0")
@@ -257,8 +259,9 @@
 	})
 }
 
-// TestRunningWorkIsNoTrial checks that a run moves to no engine that has yet to show that it is well, however quick that was.
-func TestRunningWorkIsNoTrial(t *testing.T) {
+// TestAcquireBetterSendsNoTrial checks that a run is not moved to an engine that has yet to be readmitted, however fast
+// the engine was.
+func TestAcquireBetterSendsNoTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := ejected(2)
@@ -280,9 +283,9 @@
 	})
 }
 
-// TestRunningWorkGoesByEnginesOnTrial checks that a run moves to a quick engine that works although an idler one, as quick, waits for a trial
-// for which there is no work.
-func TestRunningWorkGoesByEnginesOnTrial(t *testing.T) {
+// TestAcquireBetterSkipsEnginesOnTrial checks that a run moves to a fast engine that works although an idle one of the
+// same pace waits for a trial for which there is no work.
+func TestAcquireBetterSkipsEnginesOnTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := ejected(3)
@@ -304,9 +307,9 @@
 	})
 }
 
-// TestRenewedEnginesStartClosed checks that what was known of an engine is known no more once its record is another's: it was removed and
-// recorded again, or stands at another address.
-func TestRenewedEnginesStartClosed(t *testing.T) {
+// TestReplacedEnginesStartWithClosedBreaker checks that the state of an engine is dropped once its record belongs to
+// another one: it was removed and recorded again, or has another address.
+func TestReplacedEnginesStartWithClosedBreaker(t *testing.T) {
 	is := is.New(t)
 	directory := ejected(3, "0", "1")
 	is.Equal(directory.Ejected(), 2)
@@ -314,7 +317,7 @@
 	directory.Upsert(fleet.Engine{ID: "0", Pool: "p", Slots: 2})
 	is.Equal(directory.Ejected(), 1)
 	directory.Upsert(fleet.Engine{ID: "1", Pool: "p", Slots: 2})
-	is.Equal(directory.Ejected(), 1) // a record that is merely renewed says nothing of that
+	is.Equal(directory.Ejected(), 1) // a record that was merely renewed changes nothing
 	directory.Upsert(fleet.Engine{ID: "1", Pool: "p", Slots: 2, Address: "elsewhere"})
 	is.Equal(directory.Ejected(), 0)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet is what a node knows of the engines: which exist, what they serve, how busy this node keeps them and how
-// they have behaved. Choosing among them is a pure function over a snapshot. It makes no calls.
+// Package fleet holds a node's knowledge of the engines: which exist, what they serve, how much of their capacity this
+// node uses and how they have behaved. Choosing among them is a pure function over a snapshot. The package makes no
+// calls.
 package fleet
 
 import (
@@ -11,53 +12,53 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// Engine is one incarnation of an engine as it recorded itself.
+// Engine is one incarnation of an engine as recorded by the engine itself.
 type Engine struct {
-	// ID names the engine. An engine that starts again may keep its id, and then has the state of a new one.
+	// ID names the engine. An engine may keep its ID over a restart, and then has the state of a new one.
 	ID string
-	// StartedAt is when the incarnation started, by its own clock; zero if it does not say.
+	// StartedAt is the start time of the incarnation by its own clock; zero if it was not recorded.
 	StartedAt time.Time
 	Pool      string
 	Address   string
 	Zone      string
-	// Region is the region of the zone, empty if that is not known; the directory fills it in.
+	// Region is the region of the zone, empty if it is not known; the directory sets it.
 	Region string
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that it processes at once.
 	Slots int
-	// Draining says that it takes no new work.
+	// Draining means that it takes no new work.
 	Draining bool
 	// Versions maps models to the weight version served.
 	Versions map[string]int64
-	// Preemptible says that it may be taken away at short notice.
+	// Preemptible means that it may be removed at short notice.
 	Preemptible bool
-	// ColdUntil is until when it is slow after its start.
+	// ColdUntil is the time until which it is slow after its start.
 	ColdUntil time.Time
 }
 
-// Serves tells the version of a model that the engine serves, 0 if none.
+// Serves returns the version of a model that the engine serves, 0 if none.
 func (e Engine) Serves(model string) int64 {
 	return e.Versions[model]
 }
 
-// entry is an engine with what this node has seen of it.
+// entry is an engine together with this node's observations of it.
 type entry struct {
 	engine Engine
-	// rank is the engine's place in this process's own order of engines.
+	// rank is the engine's position in this process's own order of engines.
 	rank     float64
 	inFlight int
-	// loading holds until when an order keeps the engine from beginning requests of a model.
-	loading map[string]time.Time
-	// avoidUntil is until when the engine is tried last after failures.
+	// loadingUntil holds, by model, the time until which a load order keeps the engine from beginning requests.
+	loadingUntil map[string]time.Time
+	// avoidUntil is the time until which the engine is the last choice after failures.
 	avoidUntil time.Time
 	failures   int
 	breaker    policy.Breaker
 	pace       policy.Pace
-	// pacedAt is when the pace was measured last.
-	pacedAt time.Time
-	// latency is the smoothed time of whole answers.
+	// paceMeasuredAt is when the pace was last measured.
+	paceMeasuredAt time.Time
+	// latency is the smoothed latency of complete responses.
 	latency time.Duration
-	// began is when work began there of late, while it is cold.
-	began []time.Time
+	// recentStarts are the times of recent starts of work there while it is cold.
+	recentStarts []time.Time
 }
 
 // Directory holds the engines. It is safe for concurrent use.
@@ -65,59 +66,61 @@
 	mutex   sync.Mutex
 	engines map[string]*entry
 	changed broadcast.Signal
-	// dealt maps engines, known or not, to the models that they are kept up to date for, by pool.
-	dealt map[string]map[string]string
-	// regions maps zones to regions.
-	regions map[string]string
+	// assigned maps engines, known or not, to the models that they are assigned to, by pool.
+	assigned map[string]map[string]string
+	regions  map[string]string
 	// evacuated holds the zones whose engines take no new work.
 	evacuated map[string]bool
-	// coldRates holds how many requests a second a cold engine bears, by pool, where that is bounded.
+	// coldRates holds the number of requests per second that a cold engine can start, by pool, where that is limited.
 	coldRates map[string]float64
-	// known says that the list was read at least once; partial that there may be engines, or versions that they serve, of which nothing is
-	// known.
-	known   bool
+	// synced means that the list was read completely at least once; partial means that there may be unknown engines, or
+	// engines whose versions are unknown.
+	synced  bool
 	partial bool
-	// paces holds the paces of each pool, for a moment; pools the engines of each, until one comes or goes.
+	// paces caches the paces of each pool for paceInterval; pools caches the engines of each pool until one comes or
+	// goes.
 	paces map[poolModel]poolPace
 	pools map[string]*enginePool
-	// onEjection is called for each ejection, nil for no call; pendingEjections holds those recorded since the mutex was locked.
+	// onEjection is called for each ejection or readmission, nil for no call; pendingEjections holds those recorded
+	// since the mutex was locked.
 	onEjection       func(Ejection)
 	pendingEjections []Ejection
-	// peers holds what other processes report of engines.
+	// peers holds the reports of other processes on engines.
 	peers peers
 }
 
 // NewDirectory returns an empty directory.
 func NewDirectory() *Directory {
 	return &Directory{
-		engines: make(map[string]*entry), changed: broadcast.New(), dealt: make(map[string]map[string]string), coldRates: make(map[string]float64),
+		engines: make(map[string]*entry), changed: broadcast.New(), assigned: make(map[string]map[string]string), coldRates: make(map[string]float64),
 		evacuated: make(map[string]bool),
 		paces:     make(map[poolModel]poolPace), pools: make(map[string]*enginePool),
 	}
 }
 
-// SetRegions says in which regions zones lie. It comes before the first engine.
+// SetRegions sets the region of each zone. It must be called before the first engine is added.
 func (d *Directory) SetRegions(regions map[string]string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.regions = regions
 }
 
-// Restarted tells whether an engine is a later incarnation than another one with its id. Where either does not say when it started, they
-// count as the same one.
+// Restarted reports whether an engine is a later incarnation than another one with its ID. Where either start time is
+// unknown, they count as the same incarnation.
 func (e Engine) Restarted(before Engine) bool {
 	return !e.StartedAt.IsZero() && !before.StartedAt.IsZero() && e.StartedAt.After(before.StartedAt)
 }
 
-// Upsert adds or updates an engine. Versions never fall within an incarnation: a lagging record does not undo what was
-// learned from the engine itself. A later incarnation takes the place of the one before, and a record of an earlier one changes nothing.
+// Upsert adds or updates an engine. Versions never decrease within an incarnation: an outdated record does not undo what
+// was learned from the engine itself. A later incarnation replaces the earlier one, and a record of an earlier one
+// changes nothing.
 func (d *Directory) Upsert(engine Engine) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	engine.Region = d.regions[engine.Zone]
 	found, ok := d.engines[engine.ID]
 	if !ok {
-		d.engines[engine.ID] = &entry{engine: engine, rank: unitHash("", engine.ID), loading: make(map[string]time.Time)}
+		d.engines[engine.ID] = &entry{engine: engine, rank: unitHash("", engine.ID), loadingUntil: make(map[string]time.Time)}
 		d.poolChanged(engine.Pool)
 		return
 	}
@@ -125,30 +128,30 @@
 		return
 	}
 	if engine.Restarted(found.engine) {
-		before := found.engine.Pool
+		oldPool := found.engine.Pool
 		found.restart(engine)
-		d.movedFrom(before, found)
+		d.engineMoved(oldPool, found)
 		return
 	}
-	engine.Versions = newest(found.engine.Versions, engine.Versions)
+	engine.Versions = mergeVersions(found.engine.Versions, engine.Versions)
 	engine.Draining = engine.Draining || found.engine.Draining
 	same := engine.Draining == found.engine.Draining && engine.Address == found.engine.Address &&
 		maps.Equal(engine.Versions, found.engine.Versions)
 	if engine.Address != found.engine.Address {
-		// The failures were those of another address.
+		// The failures occurred at the old address.
 		found.breaker = policy.Breaker{}
 	}
-	before := found.engine.Pool
+	oldPool := found.engine.Pool
 	found.engine = engine
-	if !same || before != engine.Pool {
-		d.movedFrom(before, found)
+	if !same || oldPool != engine.Pool {
+		d.engineMoved(oldPool, found)
 	}
 }
 
-// restart replaces an engine by a later incarnation: versions, loads and failures were those of another process. Work in flight stays
-// counted until its caller releases it.
+// restart replaces an engine by a later incarnation: versions, loads and failures belonged to another process. Work in
+// flight stays counted until its caller releases it.
 func (e *entry) restart(engine Engine) {
-	*e = entry{engine: engine, rank: e.rank, inFlight: e.inFlight, loading: make(map[string]time.Time), pace: e.pace, pacedAt: e.pacedAt, latency: e.latency}
+	*e = entry{engine: engine, rank: e.rank, inFlight: e.inFlight, loadingUntil: make(map[string]time.Time), pace: e.pace, paceMeasuredAt: e.paceMeasuredAt, latency: e.latency}
 }
 
 // poolChanged records that an engine of a pool has come or gone. The mutex must be held.
@@ -157,10 +160,10 @@
 	d.changed.Notify()
 }
 
-// movedFrom records that an engine which was in a pool has changed. The mutex must be held.
-func (d *Directory) movedFrom(before string, found *entry) {
-	if before != found.engine.Pool {
-		d.poolChanged(before)
+// engineMoved records that an engine has changed, and maybe its pool. The mutex must be held.
+func (d *Directory) engineMoved(oldPool string, found *entry) {
+	if oldPool != found.engine.Pool {
+		d.poolChanged(oldPool)
 		d.poolChanged(found.engine.Pool)
 		return
 	}
@@ -175,8 +178,8 @@
 	d.changed.Notify()
 }
 
-func newest(known, stated map[string]int64) map[string]int64 {
-	merged := maps.Clone(stated)
+func mergeVersions(known, reported map[string]int64) map[string]int64 {
+	merged := maps.Clone(reported)
 	if merged == nil {
 		merged = make(map[string]int64)
 	}
@@ -186,7 +189,6 @@
 	return merged
 }
 
-// Remove forgets an engine.
 func (d *Directory) Remove(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -204,12 +206,12 @@
 	if !ok || found.engine.Versions[model] >= version {
 		return
 	}
-	delete(found.loading, model)
+	delete(found.loadingUntil, model)
 	d.setVersion(found, model, version)
 }
 
-// Correct records that an engine began a run under a version of a model that is older than believed. The engine's own word
-// on a run that has just begun is newer than any record.
+// Correct records that an engine began a run with an older version of a model than recorded. The engine's own report on
+// a run that has just begun is newer than any record.
 func (d *Directory) Correct(id, model string, version int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -220,7 +222,8 @@
 	d.setVersion(found, model, version)
 }
 
-// setVersion gives an engine another version of a model. Engines that were handed out keep the versions they had. The mutex must be held.
+// setVersion gives an engine another version of a model. Engines that were returned earlier keep their versions. The
+// mutex must be held.
 func (d *Directory) setVersion(found *entry, model string, version int64) {
 	versions := maps.Clone(found.engine.Versions)
 	if versions == nil {
@@ -231,60 +234,60 @@
 	d.engineChanged(found)
 }
 
-// SetDealt records for which model each engine of a pool is kept up to date. Work of that model goes there first. The map must not
-// be changed afterwards.
+// SetDealt sets the model that each engine of a pool is assigned to. Work of that model prefers the engine. The map must
+// not be changed afterwards.
 func (d *Directory) SetDealt(pool string, models map[string]string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.dealt[pool] = models
+	d.assigned[pool] = models
 	if known, ok := d.pools[pool]; ok {
 		known.own = nil
 	}
 	d.changed.Notify()
 }
 
-// Dealt returns for which model each engine of a pool is kept up to date, nil if no word of that was read. The map must not be
+// Dealt returns the model that each engine of a pool is assigned to, nil if no assignment was read. The map must not be
 // changed.
 func (d *Directory) Dealt(pool string) map[string]string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.dealt[pool]
+	return d.assigned[pool]
 }
 
-// SetLoading records that an engine loads weights of a model and begins no request of it until then, or later if that is known. An item that
-// was turned away says only that the engine still loads.
+// SetLoading records that an engine loads weights of a model and begins no request of it until then. It never shortens a
+// known load, since a rejected item only shows that the engine still loads.
 func (d *Directory) SetLoading(id, model string, until time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if found, ok := d.engines[id]; ok && until.After(found.loading[model]) {
-		found.loading[model] = until
+	if found, ok := d.engines[id]; ok && until.After(found.loadingUntil[model]) {
+		found.loadingUntil[model] = until
 	}
 }
 
-// Loading tells whether an engine is loading weights of a model.
+// Loading reports whether an engine is loading weights of a model.
 func (d *Directory) Loading(id, model string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	found, ok := d.engines[id]
-	return ok && time.Now().Before(found.loading[model])
+	return ok && time.Now().Before(found.loadingUntil[model])
 }
 
-// SetKnown records that the list of engines was read whole.
+// SetKnown records that the list of engines was read completely.
 func (d *Directory) SetKnown() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.known = true
+	d.synced = true
 }
 
-// Known tells whether the list of engines was read whole at least once.
+// Known reports whether the list of engines was read completely at least once.
 func (d *Directory) Known() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.known
+	return d.synced
 }
 
-// SetPartial says whether there may be engines of which nothing is known, or not what they serve. Who deals or orders engines by how many
-// there are must not then.
+// SetPartial sets whether there may be unknown engines, or engines whose versions are unknown. Engines must not be
+// assigned or ordered by their number then.
 func (d *Directory) SetPartial(partial bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -292,14 +295,14 @@
 	d.changed.Notify()
 }
 
-// Partial tells whether there may be engines of which nothing is known, or not what they serve.
+// Partial reports whether there may be unknown engines, or engines whose versions are unknown.
 func (d *Directory) Partial() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.partial
 }
 
-// Engine returns an engine by id.
+// Engine returns an engine by ID.
 func (d *Directory) Engine(id string) (Engine, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -307,10 +310,10 @@
 	if !ok {
 		return Engine{}, false
 	}
-	return d.standing(found), true
+	return d.effectiveEngine(found), true
 }
 
-// SetEvacuated says whether a zone is evacuated: its engines count as ones that leave until it is taken back.
+// SetEvacuated sets whether a zone is evacuated: its engines count as draining until the evacuation ends.
 func (d *Directory) SetEvacuated(zone string, evacuated bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -326,15 +329,15 @@
 	d.changed.Notify()
 }
 
-// standing returns an engine as it stands for those who choose one. The mutex must be held.
-func (d *Directory) standing(found *entry) Engine {
+// effectiveEngine returns an engine with evacuation taken into account. The mutex must be held.
+func (d *Directory) effectiveEngine(found *entry) Engine {
 	engine := found.engine
 	engine.Draining = engine.Draining || d.evacuated[engine.Zone]
 	return engine
 }
 
-// Pool returns the engines of a pool in order of their ids. The slice must not be changed; it is the same one while no engine of the pool
-// is another.
+// Pool returns the engines of a pool in order of their IDs. The slice must not be changed; it stays the same one while
+// no engine of the pool changes.
 func (d *Directory) Pool(pool string) []Engine {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -23,8 +23,8 @@
 	excluding.Exclude = []string{"a"}
 	draining := engine("a", 3)
 	draining.Draining = true
-	foreign := engine("a", 3)
-	foreign.Pool = "q"
+	otherPool := engine("a", 3)
+	otherPool.Pool = "q"
 	far := engine("a", 3)
 	far.Zone = "y"
 	tests := []struct {
@@ -33,22 +33,22 @@
 		candidates []fleet.Candidate
 		picked     string
 	}{
-		{"the idler engine", want, []fleet.Candidate{{Engine: engine("a", 3), InFlight: 2}, {Engine: engine("b", 3), InFlight: 1}}, "b"},
-		{"none that is too old", want, []fleet.Candidate{{Engine: engine("a", 1)}, {Engine: engine("b", 2), InFlight: 3}}, "b"},
-		{"the one version that is allowed", exact, []fleet.Candidate{{Engine: engine("a", 3)}, {Engine: engine("b", 2), InFlight: 3}}, "b"},
-		{"none that is leaving", want, []fleet.Candidate{{Engine: draining}, {Engine: engine("b", 3), InFlight: 3}}, "b"},
-		{"none of another pool", want, []fleet.Candidate{{Engine: foreign}}, ""},
-		{"none that was tried", excluding, []fleet.Candidate{{Engine: engine("a", 3)}, {Engine: engine("b", 3), InFlight: 3}}, "b"},
-		{"none that loads", want, []fleet.Candidate{{Engine: engine("a", 3), Loading: true}}, ""},
-		{"none that is full", want, []fleet.Candidate{{Engine: engine("a", 3), InFlight: 4}}, ""},
-		{"one that failed lately last", want, []fleet.Candidate{{Engine: engine("a", 3), Avoided: true}, {Engine: engine("b", 3), InFlight: 3}}, "b"},
-		{"one that failed lately rather than none", want, []fleet.Candidate{{Engine: engine("a", 3), Avoided: true}}, "a"},
-		{"the own zone among equals", want, []fleet.Candidate{{Engine: far}, {Engine: engine("b", 3)}}, "b"},
+		{"the less busy engine", want, []fleet.Candidate{{Engine: engine("a", 3), InFlight: 2}, {Engine: engine("b", 3), InFlight: 1}}, "b"},
+		{"no engine with an old version", want, []fleet.Candidate{{Engine: engine("a", 1)}, {Engine: engine("b", 2), InFlight: 3}}, "b"},
+		{"the exact version", exact, []fleet.Candidate{{Engine: engine("a", 3)}, {Engine: engine("b", 2), InFlight: 3}}, "b"},
+		{"no draining engine", want, []fleet.Candidate{{Engine: draining}, {Engine: engine("b", 3), InFlight: 3}}, "b"},
+		{"no engine of another pool", want, []fleet.Candidate{{Engine: otherPool}}, ""},
+		{"no excluded engine", excluding, []fleet.Candidate{{Engine: engine("a", 3)}, {Engine: engine("b", 3), InFlight: 3}}, "b"},
+		{"no loading engine", want, []fleet.Candidate{{Engine: engine("a", 3), Loading: true}}, ""},
+		{"no full engine", want, []fleet.Candidate{{Engine: engine("a", 3), InFlight: 4}}, ""},
+		{"an engine that failed lately is the last choice", want, []fleet.Candidate{{Engine: engine("a", 3), Avoided: true}, {Engine: engine("b", 3), InFlight: 3}}, "b"},
+		{"an engine that failed lately rather than none", want, []fleet.Candidate{{Engine: engine("a", 3), Avoided: true}}, "a"},
+		{"the same zone among equals", want, []fleet.Candidate{{Engine: far}, {Engine: engine("b", 3)}}, "b"},
 		{"another zone rather than a busy engine", want, []fleet.Candidate{{Engine: far}, {Engine: engine("b", 3), InFlight: 1}}, "a"},
 		{
-			"a slow one last", want, []fleet.Candidate{
-				{Engine: engine("a", 3), Outlook: policy.Steady(100 * time.Millisecond)}, {Engine: engine("b", 3), Outlook: policy.Steady(30 * time.Millisecond), InFlight: 3},
-				{Engine: engine("c", 3), Outlook: policy.Steady(30 * time.Millisecond), InFlight: 4},
+			"a slow engine is the last choice", want, []fleet.Candidate{
+				{Engine: engine("a", 3), Forecast: policy.Steady(100 * time.Millisecond)}, {Engine: engine("b", 3), Forecast: policy.Steady(30 * time.Millisecond), InFlight: 3},
+				{Engine: engine("c", 3), Forecast: policy.Steady(30 * time.Millisecond), InFlight: 4},
 			}, "b",
 		},
 	}
@@ -62,8 +62,9 @@
 	}
 }
 
-// TestWorkOfOneGroupStaysTogether checks that work that shares a prompt prefers one engine while that is no busier.
-func TestWorkOfOneGroupStaysTogether(t *testing.T) {
+// TestAffinityKeepsWorkOnOneEngine checks that work that shares a prompt prefers one engine while that engine is no
+// busier than others.
+func TestAffinityKeepsWorkOnOneEngine(t *testing.T) {
 	is := is.New(t)
 	directory := fleet.NewDirectory()
 	for _, id := range []string{"a", "b", "c"} {
@@ -79,8 +80,8 @@
 	is.Equal(len(used), 1)
 }
 
-// TestLaggingRecordsUndoNothing checks that what was learnt from an engine stands against an older record of it.
-func TestLaggingRecordsUndoNothing(t *testing.T) {
+// TestStaleRecordsAreIgnored checks that what was learned from an engine itself is not undone by an older record of it.
+func TestStaleRecordsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	directory := fleet.NewDirectory()
 	directory.Upsert(engine("a", 1))
@@ -97,11 +98,11 @@
 	is.True(!found)
 
 	directory.Remove("a")
-	_, known2 := directory.Engine("a")
-	is.True(!known2)
+	_, exists := directory.Engine("a")
+	is.True(!exists)
 }
 
-func TestFailuresAreForgottenInTime(t *testing.T) {
+func TestAvoidanceExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := fleet.NewDirectory()
@@ -118,9 +119,9 @@
 	})
 }
 
-// TestSlowEngineIsLeftForABetterOne checks that work moves only if that saves much, and only to an engine with room, which is
-// counted there at once.
-func TestSlowEngineIsLeftForABetterOne(t *testing.T) {
+// TestAcquireBetterLeavesSlowEngine checks that work moves only if that saves much time, and only to an engine with a
+// free slot, where it is counted at once.
+func TestAcquireBetterLeavesSlowEngine(t *testing.T) {
 	is := is.New(t)
 	directory := fleet.NewDirectory()
 	for _, id := range []string{"a", "b", "c"} {
@@ -140,17 +141,17 @@
 	for range 4 {
 		is.True(better(long))
 	}
-	// Nobody else has room: the slow engine is better than waiting.
+	// No other engine has a free slot: staying is better than waiting.
 	is.True(!better(long))
 }
 
-// TestWorkGoesWhereItEndsFirst gives places on two engines of which one is slower. Long work waits for the quick engine while
-// that may still end it sooner, short work takes what there is.
-func TestWorkGoesWhereItEndsFirst(t *testing.T) {
+// TestLongWorkWaitsForFastEngine uses two engines of which one is slower. Long work waits for the fast engine while it
+// may still end sooner there; short work takes any free slot.
+func TestLongWorkWaitsForFastEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := fleet.NewDirectory()
-		for id, pace := range map[string]time.Duration{"quick": 40 * time.Millisecond, "slow": 50 * time.Millisecond} {
+		for id, pace := range map[string]time.Duration{"fast": 40 * time.Millisecond, "slow": 50 * time.Millisecond} {
 			directory.Upsert(fleet.Engine{ID: id, Pool: "p", Slots: 2})
 			directory.Paced(id, pace)
 		}
@@ -165,7 +166,7 @@
 			}
 			return ids
 		}
-		is.Equal(assigned(want(100), want(100), want(100), want(10)), []string{"quick", "quick", "", ""})
+		is.Equal(assigned(want(100), want(100), want(100), want(10)), []string{"fast", "fast", "", ""})
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(assigned(want(100), want(10)), []string{"", "slow"})
 		time.Sleep(900 * time.Millisecond)
@@ -173,10 +174,11 @@
 	})
 }
 
-// TestWorkKeepsToTheEnginesOfItsModel checks that work of one model leaves the engines of another alone, as far as it has engines
-// of its own, and takes few of their places once it has waited for long. On a pool that eight models shared, three quarters of the
-// runs of the first seconds stood beside another model's at an engine, and 578 were turned away.
-func TestWorkKeepsToTheEnginesOfItsModel(t *testing.T) {
+// TestWorkPrefersEnginesOfItsModel checks that work avoids engines assigned to other models while engines of its own
+// model may run it, and takes few of the others' slots after a long wait. In a pool shared by eight models without this
+// preference, three quarters of the runs of the first seconds ran beside another model's on an engine, and 578 were
+// rejected.
+func TestWorkPrefersEnginesOfItsModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := fleet.NewDirectory()
@@ -197,7 +199,7 @@
 		time.Sleep(2 * time.Second)
 		is.Equal(placed(), map[string]int{"other": 3, "": 17})
 
-		// A run that is slow where it is moves to no engine of another model.
+		// A slow run is not moved to an engine of another model.
 		for range 40 {
 			directory.Paced("own", time.Second)
 		}
@@ -207,13 +209,13 @@
 		_, better := directory.AcquireBetter("own", moving)
 		is.True(!better)
 
-		// Without an engine of its own that may run it, work goes to any at once.
+		// Without an engine of its own model that may run it, work goes to any engine at once.
 		want.MinVersion = 2
 		want.Since = time.Now()
 		directory.SetServes("other", "m", 2)
 		is.Equal(placed(), map[string]int{"other": 3, "": 17})
 
-		// So it does where nobody said what engines are for.
+		// The same applies where engines are not assigned.
 		fresh := fleet.NewDirectory()
 		fresh.Upsert(fleet.Engine{ID: "any", Pool: "p", Slots: 6, Versions: map[string]int64{"m": 1}})
 		_, found := fresh.Acquire(fleet.Want{Pool: "p", Model: "m", Share: 1})
@@ -221,9 +223,10 @@
 	})
 }
 
-// TestARestartedEngineKnowsNothing: a process that starts again under its id serves what it then says, whatever was learnt of the one
-// before; and a record of the one before, read late, brings nothing back.
-func TestARestartedEngineKnowsNothing(t *testing.T) {
+// TestRestartResetsEngine checks that an engine that restarts under the same ID serves the versions that it then
+// reports, whatever was learned of the earlier incarnation, and that a delayed record of the earlier incarnation changes
+// nothing.
+func TestRestartResetsEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := fleet.NewDirectory()
@@ -253,43 +256,43 @@
 		known, _ := directory.Engine("a")
 		is.Equal(known.Serves("m"), int64(3))
 		is.True(!known.Draining)
-		// It neither loads nor is avoided any more, and the other one is half full.
+		// It is neither loading nor avoided any more, and the other engine is half full.
 		picked, found := directory.Acquire(want)
 		is.True(found)
 		is.Equal(picked.ID, "a")
 	})
 }
 
-// TestRestartedNeedsBothStarts: an entry that does not say when it started is taken for the incarnation that is known.
-func TestRestartedNeedsBothStarts(t *testing.T) {
+// TestRestartedNeedsBothStartTimes checks that an engine without a start time counts as the known incarnation.
+func TestRestartedNeedsBothStartTimes(t *testing.T) {
 	is := is.New(t)
-	old, later, unsaid := engine("a", 1), engine("a", 1), engine("a", 1)
+	old, later, undated := engine("a", 1), engine("a", 1), engine("a", 1)
 	old.StartedAt, later.StartedAt = time.UnixMilli(1000), time.UnixMilli(1001)
 	is.True(later.Restarted(old))
 	is.True(!old.Restarted(later))
 	is.True(!old.Restarted(old))
-	is.True(!unsaid.Restarted(old))
-	is.True(!later.Restarted(unsaid))
+	is.True(!undated.Restarted(old))
+	is.True(!later.Restarted(undated))
 }
 
-// TestQuickPlacesAreLeftToWorkThatHoldsAStep answers a step of which a few items are much longer than the others, on 3 quick and 8 slow
-// engines, which the queue gives in order of their lengths. Callers wait for the longest item, thus each long one gets a quick place; the
-// short ones have time for any place, so that none stands idle while an item waits.
-func TestQuickPlacesAreLeftToWorkThatHoldsAStep(t *testing.T) {
+// TestFastSlotsAreLeftToCriticalWork assigns a step with a few items much longer than the others to 3 fast and 8 slow
+// engines; the queue is ordered by length. Callers wait for the longest item, so each long item must get a fast slot.
+// The short ones have slack for any slot, so that no slot may stay free while an item waits.
+func TestFastSlotsAreLeftToCriticalWork(t *testing.T) {
 	const (
-		quick, slow           = 27 * time.Millisecond, 60 * time.Millisecond
-		quickCount, slowCount = 3, 8
-		slots                 = 4
-		long, short           = 140.0, 20.0
+		fast, slow           = 27 * time.Millisecond, 60 * time.Millisecond
+		fastCount, slowCount = 3, 8
+		slots                = 4
+		long, short          = 140.0, 20.0
 	)
-	slack := policy.Slack(long, quick)
+	slack := policy.Slack(long, fast)
 	tests := []struct {
 		name        string
 		long, short int
 		waiting     int
 	}{
-		{"there is room for all", 8, 32, 0},
-		{"quick places are left over", 2, 40, 0},
+		{"slots for all items", 8, 32, 0},
+		{"fast slots are left over", 2, 40, 0},
 		{"short items fill the pool", 4, 60, 20},
 	}
 	for _, test := range tests {
@@ -297,10 +300,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				directory := fleet.NewDirectory()
-				for i := range quickCount + slowCount {
+				for i := range fastCount + slowCount {
 					id, pace := string(rune('a'+i)), slow
-					if i < quickCount {
-						pace = quick
+					if i < fastCount {
+						pace = fast
 					}
 					directory.Upsert(fleet.Engine{ID: id, Pool: "p", Slots: slots})
 					directory.Paced(id, pace)
@@ -315,7 +318,7 @@
 						waiting++
 					}
 					if wants[i].Events == long {
-						is.True(engine.ID != "" && engine.ID < string(rune('a'+quickCount)))
+						is.True(engine.ID != "" && engine.ID < string(rune('a'+fastCount)))
 					}
 				}
 				is.Equal(waiting, test.waiting)
@@ -324,11 +327,11 @@
 	}
 }
 
-// TestWorkWithSlackStays checks that work moves only once it is past its slack.
-func TestWorkWithSlackStays(t *testing.T) {
+// TestWorkWithinSlackIsNotMoved checks that work moves only if it would exceed its slack.
+func TestWorkWithinSlackIsNotMoved(t *testing.T) {
 	is := is.New(t)
 	directory := fleet.NewDirectory()
-	for id, pace := range map[string]time.Duration{"quick": 27 * time.Millisecond, "slow": 60 * time.Millisecond} {
+	for id, pace := range map[string]time.Duration{"fast": 27 * time.Millisecond, "slow": 60 * time.Millisecond} {
 		directory.Upsert(fleet.Engine{ID: id, Pool: "p", Slots: 2})
 		directory.Paced(id, pace)
 	}
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// smoothing is the weight of a new measurement in a smoothed one.
+	// smoothing is the weight of a new measurement in an exponentially smoothed value.
 	smoothing = 0.2
-	// avoidBase is how long an engine is tried last after a first failure; it doubles with each further one.
+	// avoidBase is how long an engine is the last choice after a first failure; it doubles with each further one, up to
+	// avoidMax.
 	avoidBase = 500 * time.Millisecond
 	avoidMax  = 4 * time.Second
 )
 
-// Acquire picks an engine for a piece of work and counts it as in flight there. Release must follow.
+// Acquire picks an engine for a piece of work and counts it as in flight there. The caller must call Release.
 func (d *Directory) Acquire(want Want) (Engine, bool) {
 	now := time.Now()
 	d.mutex.Lock()
@@ -30,7 +31,8 @@
 	return picked.Engine, true
 }
 
-// HasRoom tells whether a piece of work would be given an engine, by what is known of places that others hold. Nothing is begun.
+// HasRoom reports whether a piece of work would get an engine, given the slots known to be held by other processes.
+// Nothing is acquired.
 func (d *Directory) HasRoom(want Want) bool {
 	now := time.Now()
 	d.mutex.Lock()
@@ -39,119 +41,121 @@
 	return found
 }
 
-// Exists tells whether any engine may run the work, with or without room.
+// Exists reports whether any engine may run the work, whether it has a free slot or not.
 func (d *Directory) Exists(want Want) bool {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, found := range d.engines {
-		if fits(d.standing(found), want) && !now.Before(found.loading[want.Model]) && !slices.Contains(want.Exclude, found.engine.ID) {
+		if fits(d.effectiveEngine(found), want) && !now.Before(found.loadingUntil[want.Model]) && !slices.Contains(want.Exclude, found.engine.ID) {
 			return true
 		}
 	}
 	return false
 }
 
-// Assign gives engines to pieces of work, the first ones first, and counts each as in flight where it goes. An empty id says
-// that the work has to wait.
+// Assign assigns engines to pieces of work, in order, and counts each as in flight at its engine. An empty ID means that
+// the work has to wait.
 func (d *Directory) Assign(wants []Want) []Engine {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	given := make([]Engine, len(wants))
-	surveys := make(map[kind]*surveyed)
+	assigned := make([]Engine, len(wants))
+	sets := make(map[workKind]*candidateSet)
 	for i, want := range wants {
-		key := kind{want.Pool, want.Model, want.MinVersion, want.ExactVersion, want.Regions == nil, strings.Join(want.Regions, " ")}
-		found, ok := surveys[key]
+		key := workKind{want.Pool, want.Model, want.MinVersion, want.ExactVersion, want.Regions == nil, strings.Join(want.Regions, " ")}
+		set, ok := sets[key]
 		if !ok {
-			found = newSurveyed(d.candidates(want, now), want)
-			surveys[key] = found
+			set = newCandidateSet(d.candidates(want, now), want)
+			sets[key] = set
 		}
 		want.probing = d.peers.mayProbe(want, now)
-		if given[i], ok = found.take(want, now); ok {
-			if d.begin(given[i], want, now) {
-				// One trial at a time, whichever kind of work it is, and no more than a cold engine bears.
-				clear(surveys)
+		if assigned[i], ok = set.assign(want, now); ok {
+			if d.begin(assigned[i], want, now) {
+				// There is one trial at a time, whatever the kind of work, and a cold engine takes no more than its
+				// rate.
+				clear(sets)
 			}
 		}
 	}
-	return given
+	return assigned
 }
 
-// kind is what pieces of work have in common that the same engines may run.
-type kind struct {
+// workKind is the part of the requirements that pieces of work share if the same engines may run them.
+type workKind struct {
 	pool, model       string
 	minVersion, exact int64
-	// anywhere says that no regions are bound, regions names those that are.
+	// anywhere means that the work is not bound to regions; otherwise regions names the allowed ones.
 	anywhere bool
 	regions  string
 }
 
-// surveyed holds the engines with room for work of one kind: those that are kept up to date for its model or for none, and the others,
-// which are open to it at times only. In a large pool most are others.
-type surveyed struct {
-	known  survey
+// candidateSet holds the engines with free slots for work of one kind: own are those assigned to its model or to none,
+// others those assigned to other models, which take it only at times. In a large pool most engines are others.
+type candidateSet struct {
+	stats  candidateStats
 	own    []Candidate
 	others []Candidate
 }
 
-func newSurveyed(candidates []Candidate, want Want) *surveyed {
+func newCandidateSet(candidates []Candidate, want Want) *candidateSet {
 	want.Exclude = nil
-	found := &surveyed{known: newSurvey(candidates, want)}
+	set := &candidateSet{stats: newCandidateStats(candidates, want)}
 	for _, candidate := range candidates {
-		if !mayRun(candidate, want) || !hasPlace(candidate.InFlight, candidate, want) {
+		if !mayRun(candidate, want) || !withinShare(candidate.InFlight, candidate, want) {
 			continue
 		}
 		if foreign(candidate, want) {
-			found.others = append(found.others, candidate)
+			set.others = append(set.others, candidate)
 		} else {
-			found.own = append(found.own, candidate)
+			set.own = append(set.own, candidate)
 		}
 	}
-	return found
+	return set
 }
 
-// take gives an engine to a piece of work and counts the work there, false if none takes it now.
-func (s *surveyed) take(want Want, now time.Time) (Engine, bool) {
+// assign assigns an engine to a piece of work and counts the work there; it returns false if no engine takes the work
+// now.
+func (s *candidateSet) assign(want Want, now time.Time) (Engine, bool) {
 	from := &s.own
-	place, best, ok := choose(s.own, s.known, want, now)
-	if foreignOpen(s.known, want, now) {
-		if other, cost, found := choose(s.others, s.known, want, now); found && (!ok || better(s.others[other], cost, s.own[place], best)) {
-			from, place, ok = &s.others, other, true
+	index, bestCost, ok := choose(s.own, s.stats, want, now)
+	if foreignAllowed(s.stats, want, now) {
+		if other, cost, found := choose(s.others, s.stats, want, now); found && (!ok || isBetter(s.others[other], cost, s.own[index], bestCost)) {
+			from, index, ok = &s.others, other, true
 		}
 	}
 	if !ok {
 		return Engine{}, false
 	}
-	room := *from
-	engine := room[place].Engine
-	room[place].InFlight++
-	if !hasPlace(room[place].InFlight, room[place], want) {
-		*from = slices.Delete(room, place, place+1)
+	candidates := *from
+	engine := candidates[index].Engine
+	candidates[index].InFlight++
+	if !withinShare(candidates[index].InFlight, candidates[index], want) {
+		*from = slices.Delete(candidates, index, index+1)
 	}
 	return engine, true
 }
 
-// improvable returns the outlook of the engine at which work runs, and whether any engine of the pool is quick enough for a move to pay,
-// whatever may run there. That spares the look at each engine: a pool may have thousands, and items ask four times a second. The mutex must
-// be held.
-func (d *Directory) improvable(id string, want Want, now time.Time) (outlook policy.Outlook, ok bool) {
-	current, ok := d.engines[id]
+// mayImprove returns the pace forecast of the engine at which work runs, and whether any engine of the pool is fast
+// enough for a move to pay, regardless of what may run there. It avoids checking each engine: a pool may have thousands,
+// and items poll four times a second. The mutex must be held.
+func (d *Directory) mayImprove(id string, want Want, now time.Time) (forecast policy.Outlook, ok bool) {
+	found, ok := d.engines[id]
 	if !ok {
 		return policy.Outlook{}, false
 	}
-	outlook = current.pace.Outlook(now)
-	quickest := policy.Steady(d.paceOf(want.Pool, "", now).quickest)
-	return outlook, policy.WorthMoving(want.Events, outlook, quickest, want.Slack)
+	forecast = found.pace.Outlook(now)
+	fastest := policy.Steady(d.paceOf(want.Pool, "", now).fastest)
+	return forecast, policy.WorthMoving(want.Events, forecast, fastest, want.Slack)
 }
 
-// AcquireBetter picks an engine at which work that runs elsewhere ends so much earlier that it is worth moving, and counts it as
-// in flight there. Release must follow.
+// AcquireBetter picks an engine at which running work would end so much earlier that moving it pays, and counts it as in
+// flight there. The caller must call Release.
 func (d *Directory) AcquireBetter(id string, want Want) (Engine, bool) {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	outlook, ok := d.improvable(id, want, now)
+	current, ok := d.mayImprove(id, want, now)
 	if !ok {
 		return Engine{}, false
 	}
@@ -160,59 +164,60 @@
 	want.Exclude = []string{id}
 	candidates := d.candidates(want, now)
 	for _, candidate := range candidates {
-		// It runs where it is, and tries no engine. Such ones are idle, and would be picked before those that work.
+		// The work already runs and is not sent as a trial. Such engines are idle, and would be picked before working
+		// ones.
 		if candidate.Avoided || candidate.Trial {
 			want.Exclude = append(want.Exclude, candidate.Engine.ID)
 		}
 	}
 	picked, found := Pick(candidates, want, now)
-	if !found || !policy.WorthMoving(want.Events, outlook, picked.Outlook, want.Slack) {
+	if !found || !policy.WorthMoving(want.Events, current, picked.Forecast, want.Slack) {
 		return Engine{}, false
 	}
 	d.begin(picked.Engine, want, now)
 	return picked.Engine, true
 }
 
-// Suitable returns the engines at which a piece of work would end no later than at the quickest one, but for what moving it would
-// cost, full or not.
+// Suitable returns the engines, full or not, at which a piece of work would end about as early as at the fastest one:
+// moving it to the fastest would not pay.
 func (d *Directory) Suitable(want Want) map[string]bool {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	candidates := d.candidates(want, now)
-	quickest := policy.Steady(newSurvey(candidates, want).quickest)
+	fastest := policy.Steady(newCandidateStats(candidates, want).fastest)
 	suitable := make(map[string]bool)
 	for _, candidate := range candidates {
 		if mayRun(candidate, want) && !candidate.Avoided && !candidate.Ejected &&
-			!policy.WorthMoving(want.Events, candidate.Outlook, quickest, want.Slack) {
+			!policy.WorthMoving(want.Events, candidate.Forecast, fastest, want.Slack) {
 			suitable[candidate.Engine.ID] = true
 		}
 	}
 	return suitable
 }
 
-// Better returns the engines at which work that runs elsewhere ends so much earlier that moving it pays, full or not.
+// Better returns the engines, full or not, at which running work would end so much earlier that moving it pays.
 func (d *Directory) Better(id string, want Want) map[string]bool {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	outlook, ok := d.improvable(id, want, now)
+	current, ok := d.mayImprove(id, want, now)
 	if !ok {
 		return nil
 	}
 	want.Exclude = []string{id}
 	candidates := d.candidates(want, now)
-	known := newSurvey(candidates, want)
-	better := make(map[string]bool)
+	stats := newCandidateStats(candidates, want)
+	faster := make(map[string]bool)
 	for _, candidate := range candidates {
-		if !mayRun(candidate, want) || candidate.Avoided || candidate.Ejected || known.own && foreign(candidate, want) {
+		if !mayRun(candidate, want) || candidate.Avoided || candidate.Ejected || stats.hasOwn && foreign(candidate, want) {
 			continue
 		}
-		if policy.WorthMoving(want.Events, outlook, candidate.Outlook, want.Slack) {
-			better[candidate.Engine.ID] = true
+		if policy.WorthMoving(want.Events, current, candidate.Forecast, want.Slack) {
+			faster[candidate.Engine.ID] = true
 		}
 	}
-	return better
+	return faster
 }
 
 // TypicalPace returns the median usual pace of a pool's engines, 0 if none is known.
@@ -222,64 +227,65 @@
 	return d.paceOf(pool, "", time.Now()).typical
 }
 
-// QuickestPace returns the least usual pace of the engines of a pool that serve a model, and are kept up to date for it if any is; 0 if
-// none is known.
+// QuickestPace returns the shortest usual pace of the engines of a pool that serve a model, restricted to those assigned
+// to the model if there are any; 0 if none is known.
 func (d *Directory) QuickestPace(pool, model string) time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.paceOf(pool, model, time.Now()).quickest
+	return d.paceOf(pool, model, time.Now()).fastest
 }
 
-// paceEvery is how often the paces of a pool are looked at: each item asks for them several times a second, and they change with the
-// smoothed gaps of many events.
-const paceEvery = 100 * time.Millisecond
+// paceInterval is the interval at which the paces of a pool are recomputed. Each item requests them several times a
+// second, and they change slowly, as medians over many events.
+const paceInterval = 100 * time.Millisecond
 
-// poolModel names the engines of a pool that serve a model, all of the pool if that is empty.
+// poolModel identifies the engines of a pool that serve a model, all of the pool if the model is empty.
 type poolModel struct {
 	pool, model string
 }
 
-// poolPace is what such engines have in common, and when it was looked at.
+// poolPace holds the statistics of such engines, and when they were computed.
 type poolPace struct {
-	survey
+	candidateStats
 	at time.Time
 }
 
-// paceOf returns the paces of the engines of a pool that serve a model. The mutex must be held.
-func (d *Directory) paceOf(pool, model string, now time.Time) survey {
+// paceOf returns the statistics of the engines of a pool that serve a model. The mutex must be held.
+func (d *Directory) paceOf(pool, model string, now time.Time) candidateStats {
 	key := poolModel{pool, model}
-	known, ok := d.paces[key]
-	if !ok || now.Sub(known.at) >= paceEvery {
+	cached, ok := d.paces[key]
+	if !ok || now.Sub(cached.at) >= paceInterval {
 		want := Want{Pool: pool, Model: model, MinVersion: 1}
-		known = poolPace{survey: newSurvey(d.candidates(want, now), want), at: now}
-		d.paces[key] = known
+		cached = poolPace{candidateStats: newCandidateStats(d.candidates(want, now), want), at: now}
+		d.paces[key] = cached
 	}
-	return known.survey
+	return cached.candidateStats
 }
 
-// candidates returns the engines that are considered for a piece of work and fit it, as they stand. The mutex must be held.
+// candidates returns the current state of the engines that are considered for a piece of work and fit it. The mutex must
+// be held.
 func (d *Directory) candidates(want Want, now time.Time) []Candidate {
 	var candidates []Candidate
-	dealt := d.dealt[want.Pool]
+	assigned := d.assigned[want.Pool]
 	d.peers.refresh(now)
 	for _, found := range d.considered(want) {
-		engine := d.standing(found)
+		engine := d.effectiveEngine(found)
 		if !fits(engine, want) {
 			continue
 		}
 		state := found.breaker.State(now)
 		trial := state == policy.BreakerHalfOpen
 		candidates = append(candidates, Candidate{
-			Engine: engine, Dealt: dealt[engine.ID], InFlight: found.inFlight, Elsewhere: d.peers.held[engine.ID],
-			Avoided: now.Before(found.avoidUntil), Spared: d.spared(found, want, now),
-			Loading: now.Before(found.loading[want.Model]), Outlook: d.outlook(found, now), Latency: found.latency,
+			Engine: engine, AssignedModel: assigned[engine.ID], InFlight: found.inFlight, PeerHeld: d.peers.held[engine.ID],
+			Avoided: now.Before(found.avoidUntil), ColdLimited: d.coldLimited(found, want, now),
+			Loading: now.Before(found.loadingUntil[want.Model]), Forecast: d.forecast(found, now), Latency: found.latency,
 			Ejected: state == policy.BreakerOpen || trial && want.NoTrial && !found.breaker.TrialOverdue(now), Trial: trial,
 		})
 	}
 	return candidates
 }
 
-// Release counts a piece of work as no longer in flight.
+// Release removes a piece of work from those in flight at an engine.
 func (d *Directory) Release(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -299,11 +305,11 @@
 			found.pace.Seed(d.peers.paces[id])
 		}
 		found.pace.Add(gap, now)
-		found.pacedAt = now
+		found.paceMeasuredAt = now
 	}
 }
 
-// Pace returns the time between events of an engine now, 0 if unknown.
+// Pace returns the current time between events of an engine, 0 if unknown.
 func (d *Directory) Pace(id string) time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -313,17 +319,17 @@
 	return 0
 }
 
-// SmoothedLatency returns the smallest smoothed latency of a pool's engines, 0 if none is known.
+// SmoothedLatency returns the lowest smoothed latency of a pool's engines, 0 if none is known.
 func (d *Directory) SmoothedLatency(pool string) time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	var least time.Duration
+	var lowest time.Duration
 	for _, found := range d.poolOf(pool).order {
-		if found.latency > 0 && (least == 0 || found.latency < least) {
-			least = found.latency
+		if found.latency > 0 && (lowest == 0 || found.latency < lowest) {
+			lowest = found.latency
 		}
 	}
-	return least
+	return lowest
 }
 
 func smooth(old, measured time.Duration) time.Duration {
--- a/internal/fleet/loading_test.go
+++ b/internal/fleet/loading_test.go
@@ -9,9 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// TestARefusalDoesNotShortenALoad answers the load of a step that is asked while the engines of its model load: an item that was sent before the
-// order was known is turned away, and the others must not follow it every time that its short pause is over.
-func TestARefusalDoesNotShortenALoad(t *testing.T) {
+// TestRejectionDoesNotShortenLoad covers a step that is requested while the engines of its model load weights. An item
+// that was sent before the load order was known is rejected, and the other items must not be sent each time its short
+// pause is over.
+func TestRejectionDoesNotShortenLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const load, pause = 1200 * time.Millisecond, 150 * time.Millisecond
@@ -30,7 +31,7 @@
 			}
 		}
 		is.Equal(sent, 0)
-		// The word that it serves ends the load, however long it was taken to last.
+		// The report that it serves the version ends the load, whatever its expected duration was.
 		directory.SetServes("e", "m", 2)
 		_, found := directory.Acquire(want)
 		is.True(found)
--- a/internal/fleet/peers_test.go
+++ b/internal/fleet/peers_test.go
@@ -23,9 +23,9 @@
 	return Want{Pool: "p", Share: 1, Since: time.Now()}
 }
 
-// TestPlacesHeldElsewhereAreTaken answers the load of several owners whose items fill the same engines: a place that another owner
-// holds is not asked for while that owner's view is fresh and the work has not waited for long.
-func TestPlacesHeldElsewhereAreTaken(t *testing.T) {
+// TestSlotsHeldByPeersAreTaken covers several owners whose items fill the same engines: a slot that another owner holds
+// is not requested while that owner's view is fresh and the work has not waited for long.
+func TestSlotsHeldByPeersAreTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := poolOf(2, 4)
@@ -34,18 +34,18 @@
 		is.True(found)
 		is.Equal(first.ID, "e01")
 		_, found = directory.Acquire(item())
-		is.True(!found) // both are full by what is known
+		is.True(!found) // both are full according to the view
 		is.Equal(directory.Assign([]Want{item()})[0].ID, "")
 
 		directory.SetPeerView("other", nil, false)
 		_, found = directory.Acquire(item())
-		is.True(found) // its view was removed
+		is.True(found) // the view was removed
 	})
 }
 
-// TestAViewThatIsNotRenewedExpires checks that a process which has died, or is cut off, keeps no place for ever: the places that it held
-// don't count after heldTTL, its paces after paceTTL.
-func TestAViewThatIsNotRenewedExpires(t *testing.T) {
+// TestPeerViewExpires checks that a process which has died or is disconnected does not hold slots indefinitely: its
+// slots don't count after heldTTL, its paces after paceTTL.
+func TestPeerViewExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := poolOf(1, 4)
@@ -63,8 +63,9 @@
 	})
 }
 
-// TestTimeInSuspensionAgesAView checks that a machine that was suspended, whose steady clock stood still, doesn't use views from before.
-func TestTimeInSuspensionAgesAView(t *testing.T) {
+// TestSuspendedTimeAgesPeerView checks that a machine that was suspended, while its monotonic clock did not advance,
+// doesn't use views from before.
+func TestSuspendedTimeAgesPeerView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var slept time.Duration
@@ -80,9 +81,9 @@
 	})
 }
 
-// TestAWrongViewKeepsNoWorkWaiting checks that work which has waited for longer than a dead process's view counts probes engines, whatever
-// others go on publishing, one piece of it at a time.
-func TestAWrongViewKeepsNoWorkWaiting(t *testing.T) {
+// TestWaitingWorkProbesFullEngines checks that work which has waited for longer than a dead process's view counts probes
+// engines, whatever other processes publish, one piece of work at a time.
+func TestWaitingWorkProbesFullEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := poolOf(1, 4)
@@ -93,16 +94,16 @@
 			time.Sleep(mergeInterval)
 		}
 		directory.SetPeerView("other", []EngineView{{Engine: "e00", Held: 4}}, false)
-		given := directory.Assign([]Want{item(), waiting, waiting})
-		is.Equal([]string{given[0].ID, given[1].ID, given[2].ID}, []string{"", "e00", ""})
+		engines := directory.Assign([]Want{item(), waiting, waiting})
+		is.Equal([]string{engines[0].ID, engines[1].ID, engines[2].ID}, []string{"", "e00", ""})
 		time.Sleep(probeInterval)
 		is.Equal(directory.Assign([]Want{waiting})[0].ID, "e00")
 	})
 }
 
-// TestPacesOfOthers checks which pace counts: the one that was measured here, else the median of the others'. Places of a recovered view
-// don't count.
-func TestPacesOfOthers(t *testing.T) {
+// TestLocalPaceTakesPrecedence checks that the pace measured here is used, or else the median of the peers' paces. Slots
+// of a recovered view don't count.
+func TestLocalPaceTakesPrecedence(t *testing.T) {
 	is := is.New(t)
 	directory := poolOf(2, 4)
 	directory.Paced("e00", 10*time.Millisecond)
@@ -116,29 +117,30 @@
 	is.Equal(directory.LocalView(map[string]int{"e01": 2})[1], EngineView{Engine: "e01", Held: 2})
 }
 
-// TestAnOldPaceGivesWayToFreshWords checks that what was measured here of an engine while it was slowed counts for as long as it is told to others,
-// and not before their word for good: whoever deals engines may run nothing there again.
-func TestAnOldPaceGivesWayToFreshWords(t *testing.T) {
+// TestExpiredLocalPaceYieldsToPeers checks that a pace measured here while the engine was slowed counts only as long as
+// it is reported to peers, and not over their reports after that: the process that assigns engines may never run
+// anything there again.
+func TestExpiredLocalPaceYieldsToPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := poolOf(1, 4)
 		directory.Paced("e00", 90*time.Millisecond)
-		tell := func() {
+		publish := func() {
 			directory.SetPeerView("other", []EngineView{{Engine: "e00", Pace: 30 * time.Millisecond}}, false)
 		}
-		tell()
+		publish()
 		is.Equal(directory.UsualPaces("p")["e00"], 90*time.Millisecond)
 		time.Sleep(paceTTL)
-		is.Equal(directory.UsualPaces("p")["e00"], 90*time.Millisecond) // nobody knows better
-		tell()
+		is.Equal(directory.UsualPaces("p")["e00"], 90*time.Millisecond) // no peer reports a pace
+		publish()
 		is.Equal(directory.UsualPaces("p")["e00"], 30*time.Millisecond)
 		is.Equal(directory.QuickestPace("p", ""), 30*time.Millisecond)
 	})
 }
 
-// TestANewOwnerBeginsAtQuickEngines answers the load of an owner that takes a partition over: with 16 items for the 16 places of the
-// two quick engines of eight it begins there, although it has measured nothing.
-func TestANewOwnerBeginsAtQuickEngines(t *testing.T) {
+// TestNewOwnerStartsOnFastEngines covers an owner that takes a partition over: with 16 items for the 16 slots of the two
+// fast engines of eight, it must start there although it has measured nothing.
+func TestNewOwnerStartsOnFastEngines(t *testing.T) {
 	is := is.New(t)
 	directory := poolOf(8, 8)
 	var views []EngineView
@@ -159,47 +161,47 @@
 	is.Equal(used, map[string]int{"e03": 8, "e07": 8})
 }
 
-// TestOwnersThatKnowEachOtherMeetFewFullEngines answers the load of four owners whose steps of 128 items begin a second apart, on 44
-// engines of 8 places, each item running for 4 to 8 s. An item that comes to a full engine is turned away and asks again 100 ms later. Each
-// owner reads the views of the others 300 ms late, as by way of the store. An item may be turned away once in two on average, which costs
-// it 50 ms of a run of seconds: a place that comes free is asked for by several owners until its new holder is known. Owners that don't
-// know each other have ten times as many turned away.
-func TestOwnersThatKnowEachOtherMeetFewFullEngines(t *testing.T) {
+// TestPeerViewsReduceRejections simulates four owners whose steps of 128 items begin a second apart, on 44 engines with
+// 8 slots, with runs of 4 to 8 s. An item that arrives at a full engine is rejected and retries 100 ms later. Each owner
+// reads the views of the others 300 ms late, as through the store. On average at most one rejection per two items is
+// allowed, which costs an item 50 ms of a run of seconds: several owners request a released slot until its new holder is
+// known. Without views of each other, owners have ten times as many rejections.
+func TestPeerViewsReduceRejections(t *testing.T) {
 	is := is.New(t)
-	apart, together := placeSteps(t, false), placeSteps(t, true)
-	t.Logf("turned away without views of others: %d of %d, with it: %d of %d", apart.rejected, apart.arrived, together.rejected, together.arrived)
-	is.Equal(apart.arrived-apart.rejected, 4*128)
-	is.Equal(together.arrived-together.rejected, 4*128)
-	is.True(2*together.rejected <= 4*128)
-	is.True(10*together.rejected <= apart.rejected)
+	without, with := placeSteps(t, false), placeSteps(t, true)
+	t.Logf("rejected without views of peers: %d of %d, with them: %d of %d", without.rejected, without.arrived, with.rejected, with.arrived)
+	is.Equal(without.arrived-without.rejected, 4*128)
+	is.Equal(with.arrived-with.rejected, 4*128)
+	is.True(2*with.rejected <= 4*128)
+	is.True(10*with.rejected <= without.rejected)
 }
 
-// arrivals counts items that came to engines, and those that were turned away.
+// arrivals counts items that arrived at engines, and those that were rejected.
 type arrivals struct{ arrived, rejected int }
 
-// placer is an owner with the items that it places.
+// placer is an owner together with its items.
 type placer struct {
 	directory *Directory
-	// zone makes each owner prefer other engines among equals, as their hash seeds do across processes.
+	// zone makes each owner prefer other engines among equals, as different hash seeds do across processes.
 	zone string
 	held map[string]int
-	// waiting holds when each item began to wait and may ask again.
+	// waiting holds when each item began to wait and when it may retry.
 	waiting []struct{ since, next time.Time }
 	ending  map[time.Time][]string
 }
 
-// placeSteps has four owners place a step each, and counts.
+// placeSteps lets four owners place a step each, and counts arrivals and rejections.
 func placeSteps(t *testing.T, share bool) arrivals {
-	const owners, items, engines, places = 4, 128, 44, 8
-	const tick, delay, again = 50 * time.Millisecond, 6, 100 * time.Millisecond
+	const owners, items, engines, slots = 4, 128, 44, 8
+	const tick, delay, retryAfter = 50 * time.Millisecond, 6, 100 * time.Millisecond
 	var count arrivals
 	synctest.Test(t, func(t *testing.T) {
-		all := make([]*placer, owners)
-		for i := range all {
-			all[i] = &placer{directory: poolOf(engines, places), zone: fmt.Sprint(i), held: make(map[string]int), ending: make(map[time.Time][]string)}
+		placers := make([]*placer, owners)
+		for i := range placers {
+			placers[i] = &placer{directory: poolOf(engines, slots), zone: fmt.Sprint(i), held: make(map[string]int), ending: make(map[time.Time][]string)}
 			for range items {
 				at := time.Now().Add(time.Duration(i) * time.Second)
-				all[i].waiting = append(all[i].waiting, struct{ since, next time.Time }{at, at})
+				placers[i].waiting = append(placers[i].waiting, struct{ since, next time.Time }{at, at})
 			}
 		}
 		busy := make(map[string]int)
@@ -207,19 +209,19 @@
 		for range 30 * time.Second / tick {
 			now := time.Now()
 			views := make([][]EngineView, owners)
-			for i, owner := range all {
+			for i, owner := range placers {
 				for _, id := range owner.ending[now] {
 					owner.held[id]--
 					busy[id]--
 					owner.directory.Release(id)
 				}
-				owner.place(now, busy, places, again, tick, &count)
+				owner.place(now, busy, slots, retryAfter, tick, &count)
 				views[i] = owner.directory.LocalView(owner.held)
 			}
 			published = append(published, views)
-			if late := len(published) - delay; share && late >= 0 {
-				for i, owner := range all {
-					for j, view := range published[late] {
+			if index := len(published) - delay; share && index >= 0 {
+				for i, owner := range placers {
+					for j, view := range published[index] {
 						if i != j {
 							owner.directory.SetPeerView(fmt.Sprint(j), view, false)
 						}
@@ -232,14 +234,14 @@
 	return count
 }
 
-// place sends the items that may ask to engines.
-func (p *placer) place(now time.Time, busy map[string]int, places int, again, tick time.Duration, count *arrivals) {
+// place sends the items that may be sent now to engines.
+func (p *placer) place(now time.Time, busy map[string]int, slots int, retryAfter, tick time.Duration, count *arrivals) {
 	var wants []Want
-	var asking []int
+	var indexes []int
 	for i, next := range p.waiting {
 		if !now.Before(next.next) {
 			wants = append(wants, Want{Pool: "p", Zone: p.zone, Share: 1, Since: next.since})
-			asking = append(asking, i)
+			indexes = append(indexes, i)
 		}
 	}
 	placed := make(map[int]bool)
@@ -247,18 +249,18 @@
 		switch {
 		case engine.ID == "":
 			continue
-		case busy[engine.ID] >= places:
+		case busy[engine.ID] >= slots:
 			count.arrived++
 			count.rejected++
 			p.directory.Release(engine.ID)
-			p.waiting[asking[i]].next = now.Add(again)
+			p.waiting[indexes[i]].next = now.Add(retryAfter)
 		default:
 			count.arrived++
-			placed[asking[i]] = true
+			placed[indexes[i]] = true
 			busy[engine.ID]++
 			p.held[engine.ID]++
-			runs := 4*time.Second + time.Duration(count.arrived*37%80)*tick
-			p.ending[now.Add(runs)] = append(p.ending[now.Add(runs)], engine.ID)
+			duration := 4*time.Second + time.Duration(count.arrived*37%80)*tick
+			p.ending[now.Add(duration)] = append(p.ending[now.Add(duration)], engine.ID)
 		}
 	}
 	kept := p.waiting[:0]
@@ -270,9 +272,9 @@
 	p.waiting = kept
 }
 
-// TestWorkWaitsForHeldPlacesRatherThanFail answers the load of a pool that is full by the views of others but for an engine that breaks
-// every run off: it has room all the time, and would take run after run.
-func TestWorkWaitsForHeldPlacesRatherThanFail(t *testing.T) {
+// TestWorkWaitsForHeldSlotsRatherThanFailingEngine covers a pool that is full according to the views of peers, except
+// for an engine that breaks every run off: it always has free slots, and would take run after run.
+func TestWorkWaitsForHeldSlotsRatherThanFailingEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := poolOf(2, 4)
@@ -282,12 +284,12 @@
 		is.True(!found)
 		waiting := item()
 		waiting.Since = waiting.Since.Add(-probeAfter)
-		given, found := directory.Acquire(waiting)
+		engine, found := directory.Acquire(waiting)
 		is.True(found)
-		is.Equal(given.ID, "e01") // the view may be wrong
+		is.Equal(engine.ID, "e01") // the view may be wrong
 		directory.Remove("e01")
-		given, found = directory.Acquire(item())
+		engine, found = directory.Acquire(item())
 		is.True(found)
-		is.Equal(given.ID, "e00") // there is nothing to wait for
+		is.Equal(engine.ID, "e00") // there is nothing to wait for
 	})
 }
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -8,123 +8,128 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// Candidate is an engine as it stands when work is to be placed.
+// Candidate is the state of an engine at the time of a placement.
 type Candidate struct {
 	Engine Engine
-	// Dealt is the model that the engine is kept up to date for, empty if that is not known.
-	Dealt    string
-	InFlight int
-	// Elsewhere is how many places other processes report to hold there.
-	Elsewhere int
-	// Avoided says that the engine failed lately.
+	// AssignedModel is the model that the engine is assigned to, empty if it is not known.
+	AssignedModel string
+	InFlight      int
+	// PeerHeld is the number of slots that other processes report to hold there.
+	PeerHeld int
+	// Avoided means that the engine failed lately.
 	Avoided bool
-	// Ejected says that its circuit breaker is open, so that nothing is sent there; Trial that the breaker lets one piece of work through.
+	// Ejected means that its circuit breaker is open, so that nothing is sent there; Trial means that the breaker lets
+	// one piece of work through.
 	Ejected bool
 	Trial   bool
-	// Loading says that it begins no request of the wanted model now.
+	// Loading means that it currently begins no request of the wanted model.
 	Loading bool
-	// Spared says that it is cold and takes none of the work now.
-	Spared bool
-	// Outlook is what is to be expected of its pace; Latency the smoothed time of whole answers.
-	Outlook policy.Outlook
-	Latency time.Duration
+	// ColdLimited means that it is cold and currently takes none of the work.
+	ColdLimited bool
+	// Forecast is its expected pace; Latency is the smoothed latency of complete responses.
+	Forecast policy.Outlook
+	Latency  time.Duration
 }
 
-// Want describes the engine that a piece of work needs.
+// Want describes the requirements of a piece of work.
 type Want struct {
 	Pool string
-	// Model and MinVersion bound the weights; an empty model takes any engine.
+	// Model and MinVersion restrict the weights; an empty model allows any engine.
 	Model      string
 	MinVersion int64
-	// ExactVersion, if not 0, allows this version alone.
+	// ExactVersion, if not 0, allows only this version.
 	ExactVersion int64
-	// Regions are those whose engines may run the work, nil for all. An engine of an unknown region runs none that is bound to some.
+	// Regions are the regions whose engines may run the work, nil for all. An engine of an unknown region runs no work
+	// with allowed regions.
 	Regions []string
-	// Exclude holds ids of engines that were tried.
+	// Exclude holds the IDs of engines that were tried.
 	Exclude []string
 	// Zone is preferred among engines that are equally busy.
 	Zone string
 	// Affinity is a key whose work prefers the same engine, such as a shared prompt; empty for none.
 	Affinity string
-	// Share is the part of an engine's slots that this node fills, 0 for no bound.
+	// Share is the part of an engine's slots that this node may fill, 0 for no limit.
 	Share float64
-	// Events is how many events are expected of the work, 0 if that is not known; Since is when it began to wait, zero if it
-	// takes any engine at once.
+	// Events is the expected number of events of the work, 0 if not known. Since is when the work began to wait, zero if
+	// it takes any engine at once.
 	Events float64
 	Since  time.Time
-	// Slack is how long the work may take from now on without holding what it is a part of, 0 if it has none or that is not known.
+	// Slack is how long the work may take from now on without delaying the step that it belongs to, 0 if there is no
+	// slack or it is not known.
 	Slack time.Duration
-	// OwnOnly leaves out engines that are kept up to date for other models.
+	// OwnOnly excludes engines that are assigned to other models.
 	OwnOnly bool
-	// NoTrial says that the work should not be the trial of an ejected engine, such as work that can't be repeated.
+	// NoTrial means that the work should not be the trial of an ejected engine, such as work that can't be repeated.
 	NoTrial bool
-	// probing says that the work ignores the places that other processes report to hold.
+	// probing means that the work ignores the slots that other processes report to hold.
 	probing bool
 }
 
-// allows tells whether engines of a region may run the work.
+// allows reports whether engines of a region may run the work.
 func (w Want) allows(region string) bool {
 	return w.Regions == nil || region != "" && slices.Contains(w.Regions, region)
 }
 
-// slowFactor is how many times the median pace makes an engine slow for work of which no number of events is expected.
+// slowFactor is the multiple of the median pace from which an engine counts as slow for work without an expected number
+// of events.
 const slowFactor = 1.8
 
-// Pick chooses an engine for a piece of work: those that may run it, of these the ones with room, of these the best score.
-// It returns false if none has room, or if the work had better wait for a quicker one.
+// Pick chooses an engine for a piece of work: of the engines that may run it and have a free slot, the one with the
+// lowest cost. It returns false if there is none, or if the work should wait for a faster one.
 func Pick(candidates []Candidate, want Want, now time.Time) (Candidate, bool) {
-	place, _, ok := choose(candidates, newSurvey(candidates, want), want, now)
+	index, _, ok := choose(candidates, newCandidateStats(candidates, want), want, now)
 	if !ok {
 		return Candidate{}, false
 	}
-	return candidates[place], true
+	return candidates[index], true
 }
 
-// survey is what the engines that may run a piece of work have in common, full or not.
-type survey struct {
-	// quickest and typical are usual paces, 0 if none is known.
-	quickest time.Duration
-	typical  time.Duration
-	// own says that one of them is kept up to date for the model of the work.
-	own bool
-	// panicking says that so many of them are ejected that ejections only add to the cost.
-	panicking bool
+// candidateStats summarizes the engines that may run a piece of work, full or not.
+type candidateStats struct {
+	// fastest and typical are usual paces, 0 if none is known.
+	fastest time.Duration
+	typical time.Duration
+	// hasOwn means that one of them is assigned to the model of the work or to none.
+	hasOwn bool
+	// ignoreEjections means that so many of them are ejected that ejections only add to the cost.
+	ignoreEjections bool
 }
 
-// newSurvey looks at the engines that may run a piece of work. The paces of those that failed lately count for nobody,
-// those of engines of other models only where there is none of its own.
-func newSurvey(candidates []Candidate, want Want) survey {
-	var found survey
-	var known, others []time.Duration
-	found.panicking = panicking(candidates, want)
+// newCandidateStats summarizes the engines that may run a piece of work. The paces of engines that failed lately don't
+// count, and those of engines of other models only where there is no engine of its own model.
+func newCandidateStats(candidates []Candidate, want Want) candidateStats {
+	var stats candidateStats
+	var ownPaces, otherPaces []time.Duration
+	stats.ignoreEjections = ignoreEjections(candidates, want)
 	for _, candidate := range candidates {
-		if !mayRun(candidate, want) || barred(candidate, found) {
+		if !mayRun(candidate, want) || blocked(candidate, stats) {
 			continue
 		}
 		isForeign := foreign(candidate, want)
-		found.own = found.own || !isForeign
+		stats.hasOwn = stats.hasOwn || !isForeign
 		switch {
-		case !candidate.Outlook.Known() || candidate.Avoided || candidate.Ejected:
+		case !candidate.Forecast.Known() || candidate.Avoided || candidate.Ejected:
 		case isForeign:
-			others = append(others, candidate.Outlook.Usual)
+			otherPaces = append(otherPaces, candidate.Forecast.Usual)
 		default:
-			known = append(known, candidate.Outlook.Usual)
+			ownPaces = append(ownPaces, candidate.Forecast.Usual)
 		}
 	}
-	if !found.own {
-		known = others
+	if !stats.hasOwn {
+		ownPaces = otherPaces
 	}
-	if len(known) > 0 {
-		slices.Sort(known)
-		found.quickest, found.typical = known[0], known[(len(known)-1)/2]
+	if len(ownPaces) > 0 {
+		slices.Sort(ownPaces)
+		stats.fastest, stats.typical = ownPaces[0], ownPaces[(len(ownPaces)-1)/2]
 	}
-	return found
+	return stats
 }
 
-// panicking tells whether so many of the engines fit for the work are ejected that it ignores ejections. Engines that load or that were
-// tried count as fit: they take work again sooner than the ejected ones. While any engine does the work, full or not, what fails is not what
-// all have in common: without that, items that found it full were sent to gone engines 1,600 times in 4 s of a test.
-func panicking(candidates []Candidate, want Want) bool {
+// ignoreEjections reports whether so many of the engines fit for the work are ejected that it ignores ejections. Engines
+// that load or that were tried count as fit: they take work again sooner than the ejected ones. While any engine works,
+// full or not, the failures have no common cause: without this check, items that found the working engines full were
+// sent to unreachable engines 1,600 times in 4 s of a test.
+func ignoreEjections(candidates []Candidate, want Want) bool {
 	ejected, fit := 0, 0
 	working := false
 	for _, candidate := range candidates {
@@ -141,84 +146,85 @@
 	return !working && policy.IgnoreEjections(ejected, fit)
 }
 
-// barred tells whether an engine takes none of the work since it is ejected. It is not a last resort where all others are full: an engine
-// that is gone always has room, and would fail the same work again and again.
-func barred(candidate Candidate, known survey) bool {
-	return candidate.Ejected && !known.panicking
+// blocked reports whether an engine takes none of the work because it is ejected. It is not a last resort where all
+// others are full: an unreachable engine always has free slots, and would fail the same work again and again.
+func blocked(candidate Candidate, stats candidateStats) bool {
+	return candidate.Ejected && !stats.ignoreEjections
 }
 
-// foreign tells whether an engine is kept up to date for another model than that of the work. Its places are most likely taken by
-// work of which this node knows nothing.
+// foreign reports whether an engine is assigned to another model than that of the work. Its slots are most likely held
+// by work that this node does not know of.
 func foreign(candidate Candidate, want Want) bool {
-	return want.Model != "" && candidate.Dealt != "" && candidate.Dealt != want.Model
+	return want.Model != "" && candidate.AssignedModel != "" && candidate.AssignedModel != want.Model
 }
 
 const (
-	// foreignAfter is how long work waits for an engine of its own model before it takes one of another model: the bursts of
-	// models that were asked together are over by then, or this one's is much the longer.
-	foreignAfter = time.Second
-	// foreignShare is the part of such an engine's places that this node fills.
+	// foreignDelay is how long work waits for an engine of its own model before it takes one of another model. By then
+	// the bursts of models whose steps were requested at the same time are over, or this model's burst is much the
+	// longest.
+	foreignDelay = time.Second
+	// foreignShare is the part of such an engine's slots that this node fills.
 	foreignShare = 0.34
 )
 
-// open tells whether an engine takes the work now as far as its model goes. Where no engine of its own model may run the work, it
-// goes to any.
-func open(candidate Candidate, known survey, want Want, now time.Time) bool {
+// modelAllows reports whether an engine takes the work now, considering its assigned model only. Where no engine of its
+// own model may run the work, any engine takes it.
+func modelAllows(candidate Candidate, stats candidateStats, want Want, now time.Time) bool {
 	if !foreign(candidate, want) {
 		return true
 	}
-	if !foreignOpen(known, want, now) {
+	if !foreignAllowed(stats, want, now) {
 		return false
 	}
-	places := max(1, foreignShare*float64(candidate.Engine.Slots))
-	return !known.own || float64(candidate.InFlight) < places
+	limit := max(1, foreignShare*float64(candidate.Engine.Slots))
+	return !stats.hasOwn || float64(candidate.InFlight) < limit
 }
 
-// foreignOpen tells whether any engine of another model takes the work now.
-func foreignOpen(known survey, want Want, now time.Time) bool {
+// foreignAllowed reports whether any engine of another model takes the work now.
+func foreignAllowed(stats candidateStats, want Want, now time.Time) bool {
 	if want.OwnOnly {
 		return false
 	}
-	return !known.own || !want.Since.IsZero() && now.Sub(want.Since) >= foreignAfter
+	return !stats.hasOwn || !want.Since.IsZero() && now.Sub(want.Since) >= foreignDelay
 }
 
-// choose returns the index of the best candidate and its cost, false if there is none. Where other processes hold the places of an engine
-// that works, the work waits for it rather than go to one that failed lately: a failing engine has room all the time. Without that wait,
-// 627 requests in a second break off at one engine.
-func choose(candidates []Candidate, known survey, want Want, now time.Time) (best int, bestCost float64, ok bool) {
+// choose returns the index of the best candidate and its cost, false if there is none. Where other processes hold the
+// slots of a working engine, the work waits for it rather than go to one that failed lately, because a failing engine
+// always has free slots. Without that wait, 627 requests in a second broke off at one engine.
+func choose(candidates []Candidate, stats candidateStats, want Want, now time.Time) (best int, bestCost float64, ok bool) {
 	best = -1
-	held := false
+	heldByPeers := false
 	for i, candidate := range candidates {
-		if !hasPlace(candidate.InFlight, candidate, want) || !mayRun(candidate, want) ||
-			barred(candidate, known) || !open(candidate, known, want, now) {
+		if !withinShare(candidate.InFlight, candidate, want) || !mayRun(candidate, want) ||
+			blocked(candidate, stats) || !modelAllows(candidate, stats, want, now) {
 			continue
 		}
-		if !hasRoom(candidate, want) {
-			held = held || !candidate.Avoided
+		if !hasFreeSlot(candidate, want) {
+			heldByPeers = heldByPeers || !candidate.Avoided
 			continue
 		}
-		delay := policy.Delay(want.Events, candidate.Outlook, known.quickest, want.Slack)
+		delay := policy.Delay(want.Events, candidate.Forecast, stats.fastest, want.Slack)
 		if policy.Declines(now.Sub(want.Since), delay) {
 			continue
 		}
-		total := cost(candidate, want, known.typical) + delay.Seconds()
-		if best < 0 || better(candidate, total, candidates[best], bestCost) {
+		total := cost(candidate, want, stats.typical) + delay.Seconds()
+		if best < 0 || isBetter(candidate, total, candidates[best], bestCost) {
 			best, bestCost = i, total
 		}
 	}
-	return best, bestCost, best >= 0 && !(held && candidates[best].Avoided)
+	return best, bestCost, best >= 0 && !(heldByPeers && candidates[best].Avoided)
 }
 
-// better tells whether a candidate of a cost goes before another; equals go by their ids.
-func better(candidate Candidate, cost float64, other Candidate, otherCost float64) bool {
+// isBetter reports whether a candidate with a cost is preferred to another; equal costs are ordered by ID.
+func isBetter(candidate Candidate, cost float64, other Candidate, otherCost float64) bool {
 	return cost < otherCost || cost == otherCost && candidate.Engine.ID < other.Engine.ID
 }
 
 func mayRun(candidate Candidate, want Want) bool {
-	return !candidate.Loading && !candidate.Spared && fits(candidate.Engine, want) && !slices.Contains(want.Exclude, candidate.Engine.ID)
+	return !candidate.Loading && !candidate.ColdLimited && fits(candidate.Engine, want) && !slices.Contains(want.Exclude, candidate.Engine.ID)
 }
 
-// fits tells whether an engine's own record allows the work.
+// fits reports whether an engine's own record allows the work.
 func fits(engine Engine, want Want) bool {
 	if engine.Pool != want.Pool || engine.Draining || !want.allows(engine.Region) {
 		return false
@@ -233,21 +239,23 @@
 	return version >= want.MinVersion
 }
 
-// hasRoom tells whether an engine has a place for the work beside that of this process and, unless the work probes, of others.
-func hasRoom(candidate Candidate, want Want) bool {
+// hasFreeSlot reports whether an engine has a slot for the work besides those held by this process and, unless the work
+// probes, by others.
+func hasFreeSlot(candidate Candidate, want Want) bool {
 	busy := candidate.InFlight
 	if !want.probing {
-		busy += candidate.Elsewhere
+		busy += candidate.PeerHeld
 	}
-	return hasPlace(busy, candidate, want)
+	return withinShare(busy, candidate, want)
 }
 
-// hasPlace tells whether a further piece of work fits beside busy others.
-func hasPlace(busy int, candidate Candidate, want Want) bool {
+// withinShare reports whether a further piece of work fits besides the busy slots.
+func withinShare(busy int, candidate Candidate, want Want) bool {
 	return want.Share <= 0 || float64(busy) < max(1, want.Share*float64(candidate.Engine.Slots))
 }
 
-// Parts of the cost, in units of a full engine. That is a second: a second's delay of the work weighs as much.
+// Weights of the cost, in units of a full engine, which equals one second: a delay of the work by one second costs as
+// much.
 const (
 	avoidedCost  = 100
 	slowCost     = 10
@@ -256,14 +264,14 @@
 	spreadCost   = 0.04
 )
 
-// cost is lower for better engines: the filled part of the slots, plus what speaks against the engine.
+// cost returns the cost of an engine, lower for better ones: the used part of the slots, plus penalties.
 func cost(candidate Candidate, want Want, typicalPace time.Duration) float64 {
 	engine := candidate.Engine
-	total := float64(candidate.InFlight+candidate.Elsewhere) / float64(max(1, engine.Slots))
+	total := float64(candidate.InFlight+candidate.PeerHeld) / float64(max(1, engine.Slots))
 	if candidate.Avoided || candidate.Ejected {
 		total += avoidedCost
 	}
-	if want.Events == 0 && typicalPace > 0 && float64(candidate.Outlook.Now) > slowFactor*float64(typicalPace) {
+	if want.Events == 0 && typicalPace > 0 && float64(candidate.Forecast.Now) > slowFactor*float64(typicalPace) {
 		total += slowCost
 	}
 	if engine.Zone != want.Zone {
@@ -279,7 +287,7 @@
 
 var hashSeed = maphash.MakeSeed()
 
-// unitHash maps a pair of texts to a number from 0 to 1 that is the same throughout the process.
+// unitHash maps a pair of strings to a number from 0 to 1 that is the same throughout the process.
 func unitHash(key, id string) float64 {
 	var hash maphash.Hash
 	hash.SetSeed(hashSeed)
--- a/internal/fleet/pool.go
+++ b/internal/fleet/pool.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// consideredMost is how many engines of a pool are considered for one piece of work, beside those that are kept up to date for its model.
-	// To look at each of thousands takes longer than the work may wait, and a choice among some hundreds is hardly better than one among
-	// these.
-	consideredMost = 256
-	// foreignMost is how many engines of other models are considered with them.
-	foreignMost = 64
+	// maxConsidered is the number of engines of a pool that are considered for one piece of work, besides those assigned
+	// to its model. Checking thousands of engines takes longer than the work may wait, and a choice among some hundreds
+	// is hardly better than one among these.
+	maxConsidered = 256
+	// maxForeign is the number of engines of other models that are considered besides them.
+	maxForeign = 64
 )
 
-// enginePool holds the engines of one pool, ready to choose from. It is made anew when an engine comes or goes.
+// enginePool caches the engines of one pool for choices. It is rebuilt when an engine comes or goes.
 type enginePool struct {
-	// order holds all in a random order of this process's own, which stays the same while others come and go: a process keeps to the same
-	// engines, and so to its connections, and processes differ in theirs.
+	// order holds all engines in a random order of this process, which does not change while others come and go: a
+	// process keeps using the same engines, and so its connections, and processes differ in theirs.
 	order []*entry
-	// own holds those that are kept up to date for each model, spare those for none, foreign those for any; nil while they have to be
-	// sorted out.
-	own     map[string][]*entry
-	spare   []*entry
-	foreign []*entry
-	// sorted holds all in order of their ids, nil while it is not known; stale are the ids of those that have changed in it.
+	// own holds the engines assigned to each model, unassigned those assigned to none, foreign those assigned to any
+	// model; own is nil while the engines have to be grouped.
+	own        map[string][]*entry
+	unassigned []*entry
+	foreign    []*entry
+	// sorted holds all engines in order of their IDs, nil while it is not built; stale holds the IDs of those that have
+	// changed since.
 	sorted []Engine
 	stale  map[string]bool
 }
@@ -35,43 +36,44 @@
 	if found, ok := d.pools[name]; ok {
 		return found
 	}
-	made := &enginePool{stale: make(map[string]bool)}
+	built := &enginePool{stale: make(map[string]bool)}
 	for _, found := range d.engines {
 		if found.engine.Pool == name {
-			made.order = append(made.order, found)
+			built.order = append(built.order, found)
 		}
 	}
-	slices.SortFunc(made.order, func(a, b *entry) int {
+	slices.SortFunc(built.order, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), strings.Compare(a.engine.ID, b.engine.ID))
 	})
-	d.pools[name] = made
-	return made
+	d.pools[name] = built
+	return built
 }
 
-// considered returns the engines of a pool that are considered for a piece of work, whether they fit or not. The mutex must be held.
+// considered returns the engines of a pool that are considered for a piece of work, whether they fit or not. The mutex
+// must be held.
 func (d *Directory) considered(want Want) []*entry {
 	p := d.poolOf(want.Pool)
-	if len(p.order) <= consideredMost {
+	if len(p.order) <= maxConsidered {
 		return p.order
 	}
-	dealt := d.dealt[want.Pool]
-	if want.Model == "" || len(dealt) == 0 {
-		return first(p.order, consideredMost, want)
+	assigned := d.assigned[want.Pool]
+	if want.Model == "" || len(assigned) == 0 {
+		return firstAllowed(p.order, maxConsidered, want)
 	}
 	if p.own == nil {
-		p.sortOut(dealt)
+		p.groupByModel(assigned)
 	}
 	own := p.own[want.Model]
-	return slices.Concat(own, first(p.spare, consideredMost-len(own), want), first(p.foreign, foreignMost, want))
+	return slices.Concat(own, firstAllowed(p.unassigned, maxConsidered-len(own), want), firstAllowed(p.foreign, maxForeign, want))
 }
 
-// sortOut sorts the engines out by the models that they are kept up to date for.
-func (p *enginePool) sortOut(dealt map[string]string) {
-	p.own, p.spare, p.foreign = make(map[string][]*entry), nil, nil
+// groupByModel groups the engines by the models that they are assigned to.
+func (p *enginePool) groupByModel(assigned map[string]string) {
+	p.own, p.unassigned, p.foreign = make(map[string][]*entry), nil, nil
 	for _, found := range p.order {
-		model := dealt[found.engine.ID]
+		model := assigned[found.engine.ID]
 		if model == "" {
-			p.spare = append(p.spare, found)
+			p.unassigned = append(p.unassigned, found)
 			continue
 		}
 		p.own[model] = append(p.own[model], found)
@@ -79,14 +81,14 @@
 	}
 }
 
-// first returns at most so many of some engines, of the regions that work is bound to.
-func first(engines []*entry, most int, want Want) []*entry {
+// firstAllowed returns the first engines in the regions that the work is bound to, at most limit.
+func firstAllowed(engines []*entry, limit int, want Want) []*entry {
 	if want.Regions == nil {
-		return engines[:max(0, min(most, len(engines)))]
+		return engines[:max(0, min(limit, len(engines)))]
 	}
 	var allowed []*entry
 	for _, found := range engines {
-		if len(allowed) >= most {
+		if len(allowed) >= limit {
 			break
 		}
 		if want.allows(found.engine.Region) {
@@ -96,21 +98,22 @@
 	return allowed
 }
 
-// sortedEngines returns the engines of a pool in order of their ids. The slice is not changed later. The mutex must be held.
+// sortedEngines returns the engines of a pool in order of their IDs. The slice is not changed later. The mutex must be
+// held.
 func (d *Directory) sortedEngines(p *enginePool) []Engine {
 	switch {
 	case p.sorted == nil:
 		p.sorted = make([]Engine, 0, len(p.order))
 		for _, found := range p.order {
-			p.sorted = append(p.sorted, d.standing(found))
+			p.sorted = append(p.sorted, d.effectiveEngine(found))
 		}
 		slices.SortFunc(p.sorted, func(a, b Engine) int { return strings.Compare(a.ID, b.ID) })
 	case len(p.stale) > 0:
 		p.sorted = slices.Clone(p.sorted)
 		for id := range p.stale {
-			at, found := slices.BinarySearchFunc(p.sorted, id, func(engine Engine, id string) int { return strings.Compare(engine.ID, id) })
+			index, found := slices.BinarySearchFunc(p.sorted, id, func(engine Engine, id string) int { return strings.Compare(engine.ID, id) })
 			if found {
-				p.sorted[at] = d.standing(d.engines[id])
+				p.sorted[index] = d.effectiveEngine(d.engines[id])
 			}
 		}
 	}
--- a/internal/fleet/pool_test.go
+++ b/internal/fleet/pool_test.go
@@ -9,20 +9,21 @@
 	"github.com/matryer/is"
 )
 
-// TestALargePoolIsConsideredInPart has work placed in a pool of thousands of engines of which some are kept up to date for its model. It
-// must be looked at these and at a bounded number of others, the same ones while engines come and go, and never at all of them.
-func TestALargePoolIsConsideredInPart(t *testing.T) {
+// TestConsideredEnginesAreBounded places work in a pool of thousands of engines of which some are assigned to its model.
+// These and a bounded number of others must be considered, the same ones while engines come and go, and never all of
+// them.
+func TestConsideredEnginesAreBounded(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory()
-	dealt := make(map[string]string)
+	assigned := make(map[string]string)
 	for i := range 4000 {
 		id := fmt.Sprint("engine-", i)
 		d.Upsert(Engine{ID: id, Pool: "p", Slots: 6, Versions: map[string]int64{"a": 1, "b": 1}})
 		if i < 300 {
-			dealt[id] = []string{"a", "b"}[i%2]
+			assigned[id] = []string{"a", "b"}[i%2]
 		}
 	}
-	d.SetDealt("p", dealt)
+	d.SetDealt("p", assigned)
 	considered := func(want Want) []string {
 		var ids []string
 		for _, candidate := range d.candidates(want, time.Now()) {
@@ -33,11 +34,11 @@
 	}
 	work := Want{Pool: "p", Model: "a", MinVersion: 1}
 	before := considered(work)
-	is.True(len(before) <= consideredMost+foreignMost)
-	for id, model := range dealt {
+	is.True(len(before) <= maxConsidered+maxForeign)
+	for id, model := range assigned {
 		is.True(model != "a" || slices.Contains(before, id))
 	}
-	is.Equal(len(considered(Want{Pool: "p"})), consideredMost)
+	is.Equal(len(considered(Want{Pool: "p"})), maxConsidered)
 
 	for i := range 100 {
 		d.Upsert(Engine{ID: fmt.Sprint("new-", i), Pool: "p", Slots: 6, Versions: map[string]int64{"a": 1}})
@@ -53,12 +54,12 @@
 
 	d.SetDealt("p", map[string]string{"engine-5": "a"})
 	is.True(slices.Contains(considered(work), "engine-5"))
-	is.True(len(considered(work)) <= consideredMost+foreignMost)
+	is.True(len(considered(work)) <= maxConsidered+maxForeign)
 }
 
-// TestPoolsFollowTheirEngines checks that the list of a pool's engines is as it should be after each kind of change, and that a list which
-// was handed out stays as it was.
-func TestPoolsFollowTheirEngines(t *testing.T) {
+// TestPoolReflectsChanges checks that the list of a pool's engines is correct after each kind of change, and that a list
+// that was returned earlier does not change.
+func TestPoolReflectsChanges(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory()
 	for _, id := range []string{"c", "a", "b"} {
--- a/internal/fleet/regions_test.go
+++ b/internal/fleet/regions_test.go
@@ -8,15 +8,16 @@
 	"github.com/matryer/is"
 )
 
-// TestWorkStaysInItsRegions answers the load of work that is bound to regions beside work that is not, in pools of any size: bound work goes to
-// no engine elsewhere, also where the engines of its region are full, few among many, or not known to lie there.
+// TestWorkStaysInItsRegions places work that is bound to regions beside work that is not, in pools of different sizes:
+// bound work must go to no engine elsewhere, even where the engines of its region are full, few among many, or not known
+// to lie there.
 func TestWorkStaysInItsRegions(t *testing.T) {
 	for _, size := range []int{8, 2000} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			is := is.New(t)
 			directory := fleet.NewDirectory()
 			directory.SetRegions(map[string]string{"recife-a": "recife", "fortaleza-a": "fortaleza"})
-			dealt := make(map[string]string)
+			assigned := make(map[string]string)
 			for i := range size {
 				zone := []string{"recife-a", "recife-a", "recife-a", "unknown"}[i%4]
 				if i < 2 {
@@ -25,29 +26,29 @@
 				id := fmt.Sprint("engine", i)
 				directory.Upsert(fleet.Engine{ID: id, Pool: "pool", Zone: zone, Slots: 4, Versions: map[string]int64{"tide": 1}})
 				if i%2 == 0 {
-					dealt[id] = "tide"
+					assigned[id] = "tide"
 				}
 			}
-			directory.SetDealt("pool", dealt)
+			directory.SetDealt("pool", assigned)
 
 			bound := fleet.Want{Pool: "pool", Regions: []string{"fortaleza"}, Share: 1}
-			trained := bound
-			trained.Model, trained.MinVersion = "tide", 1
+			ofModel := bound
+			ofModel.Model, ofModel.MinVersion = "tide", 1
 			anywhere := bound
 			anywhere.Regions = nil
 			var wants []fleet.Want
 			for range 20 {
-				wants = append(wants, bound, trained, anywhere)
+				wants = append(wants, bound, ofModel, anywhere)
 			}
-			given := 0
+			count := 0
 			for i, engine := range directory.Assign(wants) {
 				if wants[i].Regions == nil || engine.ID == "" {
 					continue
 				}
-				given++
+				count++
 				is.Equal(engine.Region, "fortaleza")
 			}
-			is.True(given >= 4)
+			is.True(count >= 4)
 			for range 10 {
 				if engine, found := directory.Acquire(bound); found {
 					is.Equal(engine.Region, "fortaleza")
@@ -58,7 +59,7 @@
 			_, found := directory.Acquire(nowhere)
 			is.True(!found)
 			is.True(!directory.Exists(nowhere))
-			// A region without a name is none of those named.
+			// An empty region name matches no engine.
 			_, found = directory.Acquire(fleet.Want{Pool: "pool", Regions: []string{""}})
 			is.True(!found)
 		})
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// Verdict is what becomes of a request that arrives at an engine.
+// Verdict is the admission decision for a request that arrives at an engine.
 type Verdict uint8
 
-// Verdicts of admission.
 const (
-	// VerdictQueue lets the request wait for a slot, which may be free at once.
+	// VerdictQueue admits the request to the queue; a slot may be free at once.
 	VerdictQueue Verdict = iota + 1
-	// VerdictRefuse sends the request away before anything ran.
+	// VerdictRefuse refuses the request before anything ran.
 	VerdictRefuse
 )
 
-// AdmissionState is what admission looks at.
+// AdmissionState is the input of an admission decision.
 type AdmissionState struct {
-	// InFlight counts the workload's requests that run, Queued those that wait, at this engine.
+	// InFlight is the number of the workload's requests that run on this engine, Queued the number that wait.
 	InFlight int
 	Queued   int
-	// MaxInFlight and MaxQueue are the workload's limits; 0 is none.
+	// MaxInFlight and MaxQueue are the workload's limits; 0 means no limit.
 	MaxInFlight int
 	MaxQueue    int
-	// Slots is how many streams the engine runs at once.
+	// Slots is the number of streams that the engine runs at once.
 	Slots int
-	// TypicalDuration is how long a request holds its slot.
+	// TypicalDuration is the time for which a request holds its slot.
 	TypicalDuration time.Duration
-	// Remaining is what is left of the request's deadline; 0 is no deadline.
+	// Remaining is the time left until the request's deadline; 0 means no deadline.
 	Remaining time.Duration
 }
 
-// queuePerSlot bounds the queue of a workload that sets no limit, by the engine's slots.
+// queuePerSlot is the queue length per slot of the engine for a workload that sets no limit.
 const queuePerSlot = 4
 
-// shortest and longest time that a refused caller is told to stay away.
+// Bounds of the retry delay that a refused caller gets.
 const (
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
 )
 
-// Admit decides whether a request may wait for a slot. A refusal tells when it pays to come back. A request that would
-// pass its deadline in the queue is refused now, while that is still cheap for everybody.
+// Admit decides whether a request may wait for a slot. For a refused request it also returns the delay after which a
+// retry is worthwhile. A request that would pass its deadline in the queue is refused at once, before it has cost the
+// caller or the engine anything.
 func Admit(state AdmissionState) (verdict Verdict, retryAfter time.Duration) {
 	limit := state.MaxQueue
 	if limit <= 0 {
@@ -60,7 +60,7 @@
 	return VerdictQueue, 0
 }
 
-// expectedWait is how long a request at the end of the queue waits: nothing while slots are free.
+// expectedWait returns the expected wait of a request at the end of the queue, 0 while slots are free.
 func expectedWait(state AdmissionState) time.Duration {
 	slots := max(1, state.Slots)
 	if state.MaxInFlight > 0 {
--- a/internal/policy/breaker_test.go
+++ b/internal/policy/breaker_test.go
@@ -7,91 +7,92 @@
 	"github.com/matryer/is"
 )
 
-// TestBreaker plays what work tells of one engine, each word at its moment, and checks how the engine stands then. Load: owners with tens
-// of items for which the engine is the only one with a free place. Thresholds: a refused connection needs no second word; three failures
-// in work without success are not met by chance; callers allow 5 s at no engine beside a free one.
+// TestBreaker applies events of one engine at given times and checks the state of the breaker after each. The thresholds
+// come from owners with tens of items for which the engine has the only free slot: one refused connection is enough,
+// three failures in work without a success are unlikely to be chance, and callers allow 5 s without an engine while
+// another one is free.
 func TestBreaker(t *testing.T) {
 	const ms = time.Millisecond
 	type step struct {
-		at   time.Duration
-		does func(b *Breaker, now time.Time)
-		then BreakerState
+		at    time.Duration
+		apply func(b *Breaker, now time.Time)
+		want  BreakerState
 	}
-	look := func(*Breaker, time.Time) {}
+	noEvent := func(*Breaker, time.Time) {}
 	begin := func(b *Breaker, now time.Time) { b.Begin(now) }
 	refused := func(b *Breaker, now time.Time) { b.Fail(FailureToConnect, now) }
-	broken := func(b *Breaker, now time.Time) { b.Fail(FailureInWork, now) }
-	whole := func(b *Breaker, now time.Time) { b.Succeed() }
-	event := func(b *Breaker, now time.Time) { b.Answer(now, now) }
-	// older is the first event of a run that was sent a while ago.
-	older := func(b *Breaker, now time.Time) { b.Answer(now.Add(-100*ms), now) }
+	failed := func(b *Breaker, now time.Time) { b.Fail(FailureInWork, now) }
+	completed := func(b *Breaker, now time.Time) { b.Succeed() }
+	answered := func(b *Breaker, now time.Time) { b.Answer(now, now) }
+	// answeredEarlier is the first event of a run that was sent 100 ms ago.
+	answeredEarlier := func(b *Breaker, now time.Time) { b.Answer(now.Add(-100*ms), now) }
 	tests := []struct {
 		name  string
 		steps []step
 	}{
-		{"new engines take work", []step{{0, look, BreakerClosed}, {0, begin, BreakerClosed}}},
-		{"one refused connection ejects", []step{{0, refused, BreakerOpen}, {299 * ms, look, BreakerOpen}, {300 * ms, look, BreakerHalfOpen}}},
-		{"one trial at a time", []step{{0, refused, BreakerOpen}, {300 * ms, begin, BreakerOpen}, {1700 * ms, look, BreakerOpen}}},
-		{"a trial without a word makes room for the next", []step{{0, refused, BreakerOpen}, {300 * ms, begin, BreakerOpen}, {1800 * ms, look, BreakerHalfOpen}}},
-		{"an event of the trial takes back", []step{{0, refused, BreakerOpen}, {300 * ms, begin, BreakerOpen}, {340 * ms, event, BreakerClosed}}},
-		{"a run that was sent before the trial takes nothing back", []step{
-			{0, broken, BreakerClosed},
-			{0, broken, BreakerClosed},
-			{0, broken, BreakerOpen},
+		{"new engines take work", []step{{0, noEvent, BreakerClosed}, {0, begin, BreakerClosed}}},
+		{"one refused connection ejects", []step{{0, refused, BreakerOpen}, {299 * ms, noEvent, BreakerOpen}, {300 * ms, noEvent, BreakerHalfOpen}}},
+		{"one trial at a time", []step{{0, refused, BreakerOpen}, {300 * ms, begin, BreakerOpen}, {1700 * ms, noEvent, BreakerOpen}}},
+		{"a trial without a response times out", []step{{0, refused, BreakerOpen}, {300 * ms, begin, BreakerOpen}, {1800 * ms, noEvent, BreakerHalfOpen}}},
+		{"an event of the trial closes the breaker", []step{{0, refused, BreakerOpen}, {300 * ms, begin, BreakerOpen}, {340 * ms, answered, BreakerClosed}}},
+		{"a run that was sent before the trial does not close the breaker", []step{
+			{0, failed, BreakerClosed},
+			{0, failed, BreakerClosed},
+			{0, failed, BreakerOpen},
 			{300 * ms, begin, BreakerOpen},
-			{310 * ms, older, BreakerOpen},
-			{320 * ms, whole, BreakerOpen},
-			{400 * ms, older, BreakerClosed},
+			{310 * ms, answeredEarlier, BreakerOpen},
+			{320 * ms, completed, BreakerOpen},
+			{400 * ms, answeredEarlier, BreakerClosed},
 		}},
-		{"work that is sent after the trial takes nothing from its answer", []step{
+		{"later work does not invalidate the response to the trial", []step{
 			{0, refused, BreakerOpen},
 			{300 * ms, begin, BreakerOpen},
 			{350 * ms, begin, BreakerOpen},
-			{400 * ms, older, BreakerClosed},
+			{400 * ms, answeredEarlier, BreakerClosed},
 		}},
-		{"a failed trial ejects for longer", []step{
+		{"a failed trial ejects for a longer time", []step{
 			{0, refused, BreakerOpen},
 			{300 * ms, begin, BreakerOpen},
 			{301 * ms, refused, BreakerOpen},
-			{900 * ms, look, BreakerOpen},
-			{901 * ms, look, BreakerHalfOpen},
+			{900 * ms, noEvent, BreakerOpen},
+			{901 * ms, noEvent, BreakerHalfOpen},
 		}},
-		{"what was sent before the ejection says nothing new", []step{
+		{"results of work from before the ejection are ignored", []step{
 			{0, refused, BreakerOpen},
-			{100 * ms, broken, BreakerOpen},
-			{200 * ms, whole, BreakerOpen},
-			{300 * ms, look, BreakerHalfOpen},
+			{100 * ms, failed, BreakerOpen},
+			{200 * ms, completed, BreakerOpen},
+			{300 * ms, noEvent, BreakerHalfOpen},
 			{310 * ms, refused, BreakerHalfOpen},
 		}},
-		{"success without any other engine takes back", []step{{0, refused, BreakerOpen}, {10 * ms, begin, BreakerOpen}, {50 * ms, event, BreakerClosed}}},
-		{"two broken runs are chance", []step{{0, broken, BreakerClosed}, {ms, broken, BreakerClosed}}},
-		{"three broken runs are none", []step{{0, broken, BreakerClosed}, {ms, broken, BreakerClosed}, {2 * ms, broken, BreakerOpen}}},
-		{"successes between take strikes off", []step{
-			{0, broken, BreakerClosed},
-			{1 * ms, whole, BreakerClosed},
-			{2 * ms, whole, BreakerClosed},
-			{3 * ms, broken, BreakerClosed},
-			{4 * ms, broken, BreakerClosed},
+		{"success of work sent while open closes the breaker", []step{{0, refused, BreakerOpen}, {10 * ms, begin, BreakerOpen}, {50 * ms, answered, BreakerClosed}}},
+		{"two failed runs do not eject", []step{{0, failed, BreakerClosed}, {ms, failed, BreakerClosed}}},
+		{"three failed runs eject", []step{{0, failed, BreakerClosed}, {ms, failed, BreakerClosed}, {2 * ms, failed, BreakerOpen}}},
+		{"successes in between reduce the failure count", []step{
+			{0, failed, BreakerClosed},
+			{1 * ms, completed, BreakerClosed},
+			{2 * ms, completed, BreakerClosed},
+			{3 * ms, failed, BreakerClosed},
+			{4 * ms, failed, BreakerClosed},
 		}},
-		{"strikes of separate incidents don't add up", []step{
-			{0, broken, BreakerClosed},
-			{1 * ms, broken, BreakerClosed},
-			{5001 * ms, broken, BreakerClosed},
+		{"failures of separate incidents don't add up", []step{
+			{0, failed, BreakerClosed},
+			{1 * ms, failed, BreakerClosed},
+			{5001 * ms, failed, BreakerClosed},
 		}},
-		{"one more failure ejects an engine that has just been taken back", []step{
+		{"one more failure ejects an engine that was just readmitted", []step{
 			{0, refused, BreakerOpen},
 			{300 * ms, begin, BreakerOpen},
-			{400 * ms, event, BreakerClosed},
-			{500 * ms, broken, BreakerOpen},
-			{1099 * ms, look, BreakerOpen},
-			{1100 * ms, look, BreakerHalfOpen},
+			{400 * ms, answered, BreakerClosed},
+			{500 * ms, failed, BreakerOpen},
+			{1099 * ms, noEvent, BreakerOpen},
+			{1100 * ms, noEvent, BreakerHalfOpen},
 		}},
-		{"after a quiet time an ejection is a first one", []step{
+		{"the ejection time is reset after a period without failures", []step{
 			{0, refused, BreakerOpen},
 			{300 * ms, begin, BreakerOpen},
-			{400 * ms, event, BreakerClosed},
+			{400 * ms, answered, BreakerClosed},
 			{10400 * ms, refused, BreakerOpen},
-			{10700 * ms, look, BreakerHalfOpen},
+			{10700 * ms, noEvent, BreakerHalfOpen},
 		}},
 	}
 	for _, test := range tests {
@@ -101,35 +102,36 @@
 			start := time.Unix(1000, 0)
 			for _, step := range test.steps {
 				now := start.Add(step.at)
-				step.does(&breaker, now)
-				is.Equal(breaker.State(now), step.then) // at step.at
+				step.apply(&breaker, now)
+				is.Equal(breaker.State(now), step.want) // at step.at
 			}
 		})
 	}
 }
 
-// TestEjectionsStayShort checks that an engine that is gone for long is still asked every 2 s: with a silent trial of 1.2 s it takes work
-// again well within the 5 s that callers allow.
+// TestEjectionsStayShort checks that an engine that is down for long is still tried every 2 s: with a silent trial of
+// 1.2 s it takes work again well within the 5 s that callers allow.
 func TestEjectionsStayShort(t *testing.T) {
 	is := is.New(t)
 	var breaker Breaker
 	now := time.Unix(1000, 0)
-	var lasted []time.Duration
+	var durations []time.Duration
 	for range 6 {
 		breaker.Begin(now)
-		lasts := breaker.Fail(FailureToConnect, now)
-		lasted = append(lasted, lasts)
-		now = now.Add(lasts)
+		duration := breaker.Fail(FailureToConnect, now)
+		durations = append(durations, duration)
+		now = now.Add(duration)
 	}
 	const ms = time.Millisecond
-	is.Equal(lasted, []time.Duration{300 * ms, 600 * ms, 1200 * ms, 2000 * ms, 2000 * ms, 2000 * ms})
+	is.Equal(durations, []time.Duration{300 * ms, 600 * ms, 1200 * ms, 2000 * ms, 2000 * ms, 2000 * ms})
 	is.True(!breaker.TrialOverdue(now.Add(3 * time.Second)))
 	is.True(breaker.TrialOverdue(now.Add(4 * time.Second)))
 }
 
-// TestEnginesThatFailAPartOfTheirWork checks from which share on an engine is ejected: not at a quarter, but at a half. Load: grey engines,
-// that fail some of their work while they look well; callers repeat what fails, three times at most.
-func TestEnginesThatFailAPartOfTheirWork(t *testing.T) {
+// TestPartialFailuresEject checks the failure rate from which an engine is ejected: not at a quarter, but at a half. It
+// guards against engines that look healthy and fail some of their work, while callers send a failed request three times
+// at most.
+func TestPartialFailuresEject(t *testing.T) {
 	is := is.New(t)
 	ejectedAfter := func(every int) int {
 		var breaker Breaker
--- a/internal/policy/crashes.go
+++ b/internal/policy/crashes.go
@@ -2,64 +2,67 @@
 
 import "time"
 
-// Crashes is what is known of requests of one content under which engines ended, since one of them was last answered.
+// Crashes summarizes the engines that terminated while running requests of one content, since such a request was last
+// answered.
 type Crashes struct {
-	// Engines counts the engines that ended.
+	// Engines is the number of engines that terminated.
 	Engines int
-	// Trials counts the trials that were given since.
+	// Trials is the number of trials granted since.
 	Trials int
-	// Last is when the last engine ended or the last trial was given.
+	// Last is when the last engine terminated or the last trial was granted.
 	Last time.Time
 }
 
 const (
-	// RequestStrikes is how many engines may end under a request before it is withheld. One end alone is most likely a coincidence
-	// and a repeat what callers are promised; a small pool of three keeps an engine through two.
+	// RequestStrikes is the number of engines that may terminate under a request before the request is withheld. A
+	// single termination is most likely a coincidence, and callers are promised a retry; a pool of three keeps one
+	// engine through two.
 	RequestStrikes = 2
-	// ItemStrikes is the same for items of jobs and the calls that score them, which run beside as many others as an engine has places.
-	// Whoever shares an engine with a request that crashes two has a chance of a half, in a pool of three, to be repeated beside it
-	// and meet the second end too; with one more he is not taken for it, and a step does not wait for his trial.
+	// ItemStrikes is the same limit for items of jobs and the calls that score them, which run concurrently with as many
+	// others as an engine has slots. In a pool of three, an item that shares an engine with a request that crashes two
+	// engines has a probability of one half to be retried beside that request and to see the second crash too. With a
+	// limit one higher it is not mistaken for the cause, and its step does not wait for its trial.
 	ItemStrikes = 3
-	// CrashMemory is how long an end counts: a day after the last one, whatever crashed engines has most likely been mended.
+	// CrashMemory is the time for which crashes count after the last one. After a day the cause has most likely been
+	// fixed.
 	CrashMemory = 24 * time.Hour
 )
 
-// trialHolds is how long a withheld request waits for each of its trials. The first one clears a request that met its ends by chance, at
-// the cost of one more engine if it was no chance: engines that crash are back after some 3 s, and what a step waits for has 7 s or so.
-// After the last one it is withheld until the ends are forgotten. Callers' platforms allow three sends after the third end; two leave one
-// for a send that crosses the news.
-var trialHolds = []time.Duration{3 * time.Second, 10 * time.Minute}
+// trialDelays holds the delay of a withheld request before each of its trials. The first trial clears a request that met
+// its crashes by chance, at the cost of one more engine if it is the cause: crashed engines are back after about 3 s,
+// and a step can wait about 7 s. After the last trial the request is withheld until the crashes expire. Callers'
+// platforms allow three sends after the third crash; two trials leave one for a send that crosses the update.
+var trialDelays = []time.Duration{3 * time.Second, 10 * time.Minute}
 
-// TrialLasts is how long a trial takes at most, as a rule: a whole answer takes a fraction of it. Whoever is refused meanwhile is told to come
-// again after it.
+// TrialLasts is the usual upper bound for the duration of a trial; a complete response takes a fraction of it. Requests
+// that are refused during a trial are told to retry after it.
 const TrialLasts = 2 * time.Second
 
-// Access says whether a request may be sent to an engine.
+// Access is the decision whether a request may be sent to an engine.
 type Access int
 
-// Answers to whether a request may be sent.
 const (
-	// AccessFree lets it be sent.
+	// AccessFree allows sending.
 	AccessFree Access = iota
-	// AccessTrial lets it be sent to one engine, by one sender of all.
+	// AccessTrial allows sending to one engine, by a single sender.
 	AccessTrial
-	// AccessHeld withholds it.
-	AccessHeld
+	// AccessWithheld withholds the request.
+	AccessWithheld
 )
 
-// Access tells whether a request under which engines ended may be sent, and if it is withheld, for how long. Strikes is how many ends
-// it takes.
+// Access reports whether a request under which engines terminated may be sent, and if it is withheld, for how long. The
+// argument strikes is the number of terminations from which requests are withheld.
 func (c Crashes) Access(strikes int, now time.Time) (Access, time.Duration) {
 	since := now.Sub(c.Last)
 	switch {
 	case c.Engines < strikes || since >= CrashMemory:
 		return AccessFree, 0
 	case c.Trials > 0 && since < TrialLasts:
-		return AccessHeld, TrialLasts - since
-	case c.Trials >= len(trialHolds):
-		return AccessHeld, CrashMemory - since
-	case since < trialHolds[c.Trials]:
-		return AccessHeld, trialHolds[c.Trials] - since
+		return AccessWithheld, TrialLasts - since
+	case c.Trials >= len(trialDelays):
+		return AccessWithheld, CrashMemory - since
+	case since < trialDelays[c.Trials]:
+		return AccessWithheld, trialDelays[c.Trials] - since
 	default:
 		return AccessTrial, 0
 	}
--- a/internal/policy/crashes_test.go
+++ b/internal/policy/crashes_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestAccessToARequestThatCrashesEngines(t *testing.T) {
+func TestCrashesAccess(t *testing.T) {
 	now := time.Now()
 	tests := []struct {
 		name            string
@@ -16,16 +16,16 @@
 		access          Access
 		wait            time.Duration
 	}{
-		{"nothing ended", 0, 0, time.Hour, AccessFree, 0},
-		{"one end is no pattern", 1, 0, 0, AccessFree, 0},
-		{"two ends are", 2, 0, 0, AccessHeld, 3 * time.Second},
-		{"the wait runs", 2, 0, time.Second, AccessHeld, 2 * time.Second},
-		{"a first trial", 2, 0, 3 * time.Second, AccessTrial, 0},
-		{"held while it is made", 2, 1, 0, AccessHeld, 2 * time.Second},
-		{"and for long after it failed", 3, 1, 2 * time.Second, AccessHeld, 10*time.Minute - 2*time.Second},
-		{"a second trial", 3, 1, 10 * time.Minute, AccessTrial, 0},
-		{"no third", 4, 2, 12 * time.Hour, AccessHeld, 12 * time.Hour},
-		{"forgotten after a day", 4, 2, 24 * time.Hour, AccessFree, 0},
+		{"no crash", 0, 0, time.Hour, AccessFree, 0},
+		{"one crash is below the limit", 1, 0, 0, AccessFree, 0},
+		{"two crashes reach the limit", 2, 0, 0, AccessWithheld, 3 * time.Second},
+		{"delay before the first trial", 2, 0, time.Second, AccessWithheld, 2 * time.Second},
+		{"first trial", 2, 0, 3 * time.Second, AccessTrial, 0},
+		{"withheld during a trial", 2, 1, 0, AccessWithheld, 2 * time.Second},
+		{"withheld after a failed trial", 3, 1, 2 * time.Second, AccessWithheld, 10*time.Minute - 2*time.Second},
+		{"second trial", 3, 1, 10 * time.Minute, AccessTrial, 0},
+		{"no third trial", 4, 2, 12 * time.Hour, AccessWithheld, 12 * time.Hour},
+		{"crashes expire after a day", 4, 2, 24 * time.Hour, AccessFree, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -38,16 +38,16 @@
 	}
 }
 
-// TestTrialsAreFew checks that a request that crashes every engine is sent no more than three times after the third end, whenever it comes
-// and however many ends it takes to withhold it.
+// TestTrialsAreFew checks that a request that crashes every engine is sent no more than three times after the third
+// crash, whenever it arrives and whatever the limit is.
 func TestTrialsAreFew(t *testing.T) {
 	for _, strikes := range []int{RequestStrikes, ItemStrikes} {
 		is := is.New(t)
 		var known Crashes
 		now := time.Now()
-		for begun := now; now.Sub(begun) < CrashMemory; now = now.Add(time.Second) {
+		for start := now; now.Sub(start) < CrashMemory; now = now.Add(time.Second) {
 			access, _ := known.Access(strikes, now)
-			if access == AccessHeld {
+			if access == AccessWithheld {
 				continue
 			}
 			if access == AccessTrial {
--- a/internal/policy/critical.go
+++ b/internal/policy/critical.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// GroupLength is a group of a step as it is expected to be.
+// GroupLength is the expected length of a group of a step.
 type GroupLength struct {
-	// Events is how many are left of its longest item.
+	// Events is the number of events left of the group's longest item.
 	Events float64
-	// Carried says that the trainer waits for it whatever other groups are whole.
+	// Carried means that the trainer waits for the group no matter which other groups are complete.
 	Carried bool
 }
 
-// CriticalEvents returns how many events a step is expected to last if all its items began at once: those of the longest group
-// among the ones that the trainer waits for, which are the carried ones and of the others the shortest, as many as it wants.
+// CriticalEvents returns the expected length of a step, in events, if all its items began at once: that of the longest
+// group that the trainer waits for. The trainer waits for the carried groups and for the shortest of the others, wanted
+// groups in all.
 func CriticalEvents(groups []GroupLength, wanted int) float64 {
 	longest := 0.0
 	var others []float64
--- a/internal/policy/deal_test.go
+++ b/internal/policy/deal_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawLoads draws what some models ask, from a tenth of a pool to more than it has.
+// drawLoads draws loads of some models, from a tenth of a pool to more than its capacity.
 func drawLoads(t *rapid.T, models int) []policy.StepLoad {
 	loads := make([]policy.StepLoad, models)
 	for i := range loads {
@@ -24,68 +24,69 @@
 	return loads
 }
 
-// evenDeal deals engines so that numbers differ by one at most.
-func evenDeal(engines, models int) []int {
-	dealt := make([]int, models)
+// evenAssignment assigns engines so that the numbers differ by one at most.
+func evenAssignment(engines, models int) []int {
+	assigned := make([]int, models)
 	for i := range engines {
-		dealt[i%models]++
+		assigned[i%models]++
 	}
-	return dealt
+	return assigned
 }
 
-// cheapest returns the least cost of all ways to deal engines, one at least to each model.
-func cheapest(engines int, slots float64, loads []policy.StepLoad) float64 {
-	dealt := make([]int, len(loads))
-	least := -1.0
-	var try func(model, left int)
-	try = func(model, left int) {
+// minCost returns the lowest cost over all assignments with at least one engine for each model.
+func minCost(engines int, slots float64, loads []policy.StepLoad) float64 {
+	assigned := make([]int, len(loads))
+	lowest := -1.0
+	var assign func(model, left int)
+	assign = func(model, left int) {
 		if model == len(loads)-1 {
-			dealt[model] = left
-			if cost := policy.DealCost(dealt, slots, loads); least < 0 || cost < least {
-				least = cost
+			assigned[model] = left
+			if cost := policy.AssignmentCost(assigned, slots, loads); lowest < 0 || cost < lowest {
+				lowest = cost
 			}
 			return
 		}
 		for count := 1; count <= left-(len(loads)-1-model); count++ {
-			dealt[model] = count
-			try(model+1, left-count)
+			assigned[model] = count
+			assign(model+1, left-count)
 		}
 	}
-	try(0, engines)
-	return least
+	assign(0, engines)
+	return lowest
 }
 
-// TestDealIsTheCheapest checks on small pools that no other numbers cost less, and on any that the even ones don't.
-func TestDealIsTheCheapest(t *testing.T) {
+// TestAssignmentIsTheCheapest checks on small pools that no other assignment costs less, and on pools of any size that
+// the even one doesn't.
+func TestAssignmentIsTheCheapest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := rapid.IntRange(1, 4).Draw(t, "models")
 		loads := drawLoads(t, models)
 		slots := float64(rapid.IntRange(1, 12).Draw(t, "slots"))
 		engines := rapid.IntRange(models, 14).Draw(t, "engines")
-		dealt := policy.Deal(engines, slots, loads)
+		assigned := policy.Deal(engines, slots, loads)
 		total := 0
-		for _, count := range dealt {
+		for _, count := range assigned {
 			if count < 1 {
-				t.Fatalf("a model has no engine: %v", dealt)
+				t.Fatalf("a model has no engine: %v", assigned)
 			}
 			total += count
 		}
 		if total != engines {
-			t.Fatalf("%d engines dealt as %v", engines, dealt)
+			t.Fatalf("%d engines assigned as %v", engines, assigned)
 		}
 		const rounding = 1 + 1e-9
-		if least := cheapest(engines, slots, loads); policy.DealCost(dealt, slots, loads) > rounding*least {
-			t.Fatalf("%v costs %v, the cheapest %v", dealt, policy.DealCost(dealt, slots, loads), least)
+		if lowest := minCost(engines, slots, loads); policy.AssignmentCost(assigned, slots, loads) > rounding*lowest {
+			t.Fatalf("%v costs %v, the cheapest %v", assigned, policy.AssignmentCost(assigned, slots, loads), lowest)
 		}
 		many := rapid.IntRange(models, 500).Draw(t, "many")
-		if policy.DealCost(policy.Deal(many, slots, loads), slots, loads) > rounding*policy.DealCost(evenDeal(many, models), slots, loads) {
-			t.Fatalf("the even deal of %d engines costs less", many)
+		if policy.AssignmentCost(policy.Deal(many, slots, loads), slots, loads) > rounding*policy.AssignmentCost(evenAssignment(many, models), slots, loads) {
+			t.Fatalf("the even assignment of %d engines costs less", many)
 		}
 	})
 }
 
-// TestDealWithFewerEnginesThanModels checks that the most urgent and busiest models have them.
-func TestDealWithFewerEnginesThanModels(t *testing.T) {
+// TestFewerEnginesThanModels checks that the models with the highest priority and load get the engines.
+func TestFewerEnginesThanModels(t *testing.T) {
 	is := is.New(t)
 	loads := []policy.StepLoad{
 		{Work: time.Second}, {Work: 3 * time.Second, Priority: 1}, {Work: 2 * time.Second}, {Work: 4 * time.Second, Priority: 1},
@@ -94,36 +95,37 @@
 	is.Equal(policy.Deal(0, 6, loads), []int{0, 0, 0, 0})
 }
 
-// TestHeavyModelsHaveMoreEngines takes the models of a large pool as measured: the light ones must keep enough of them to keep
-// up, the heavy ones must gain.
-func TestHeavyModelsHaveMoreEngines(t *testing.T) {
+// TestHeavyModelsGetMoreEngines uses loads measured in a large pool: light models must keep enough engines to keep up,
+// and heavy models must gain.
+func TestHeavyModelsGetMoreEngines(t *testing.T) {
 	is := is.New(t)
 	heavy := policy.StepLoad{Work: 100 * time.Second, Longest: 4500 * time.Millisecond, Interval: 4 * time.Second}
 	light := policy.StepLoad{Work: 40 * time.Second, Longest: 2500 * time.Millisecond, Interval: 4 * time.Second}
 	loads := []policy.StepLoad{heavy, heavy, heavy, heavy, heavy, light, light, light}
 	const engines, slots = 77, 6
-	dealt := policy.Deal(engines, slots, loads)
-	even := evenDeal(engines, len(loads))
+	assigned := policy.Deal(engines, slots, loads)
+	even := evenAssignment(engines, len(loads))
 	for i, load := range loads {
-		now, before := policy.StepTime(load, dealt[i], slots), policy.StepTime(load, even[i], slots)
+		now, before := policy.StepTime(load, assigned[i], slots), policy.StepTime(load, even[i], slots)
 		if load == heavy {
 			is.True(now < before-300*time.Millisecond)
 		} else {
 			is.True(now < 6*time.Second)
 		}
 	}
-	is.True(policy.WorthDealing(even, dealt, slots, loads, time.Second))
-	is.True(!policy.WorthDealing(dealt, dealt, slots, loads, time.Second))
+	is.True(policy.WorthDealing(even, assigned, slots, loads, time.Second))
+	is.True(!policy.WorthDealing(assigned, assigned, slots, loads, time.Second))
 
-	// One engine from a heavy model to another gains nothing, whatever a load costs.
-	other := append([]int(nil), dealt...)
+	// Moving one engine between heavy models gains nothing, whatever a load costs.
+	other := append([]int(nil), assigned...)
 	other[0]++
 	other[1]--
-	is.True(!policy.WorthDealing(other, dealt, slots, loads, time.Second))
+	is.True(!policy.WorthDealing(other, assigned, slots, loads, time.Second))
 }
 
-// TestDealIsEvenWhereNothingIsKnown checks that models which ask nothing, or of which nothing is known, share evenly.
-func TestDealIsEvenWhereNothingIsKnown(t *testing.T) {
+// TestAssignmentIsEvenWithoutLoads checks that models without any load, or without a known one, share the engines
+// evenly.
+func TestAssignmentIsEvenWithoutLoads(t *testing.T) {
 	is := is.New(t)
 	is.Equal(policy.Deal(8, 6, make([]policy.StepLoad, 3)), []int{3, 3, 2})
 	is.True(!policy.WorthDealing([]int{3, 3, 2}, []int{2, 3, 3}, 6, make([]policy.StepLoad, 3), time.Second))
@@ -146,19 +148,19 @@
 	}
 }
 
-// TestEnginesGoToTheTrainerThatIsBehind answers two equal trainers of which one has lost three seconds to an outage: it gets some engines
-// of the other, and the other keeps most of its own, since it would be the next to fall behind.
-func TestEnginesGoToTheTrainerThatIsBehind(t *testing.T) {
+// TestLateTrainerGetsMoreEngines compares two equal trainers of which one has lost three seconds to an outage. It must
+// get some engines of the other, which must keep most of its own, since it would be the next to fall behind.
+func TestLateTrainerGetsMoreEngines(t *testing.T) {
 	is := is.New(t)
 	load := policy.StepLoad{Work: 80 * time.Second, Longest: 4 * time.Second, Interval: 4 * time.Second}
 	late := load
 	late.Behind = 3 * time.Second
 	is.Equal(policy.Deal(12, 8, []policy.StepLoad{load, load}), []int{6, 6})
-	dealt := policy.Deal(12, 8, []policy.StepLoad{load, late})
-	is.True(dealt[1] > dealt[0])
-	is.True(dealt[0] >= 4)
+	assigned := policy.Deal(12, 8, []policy.StepLoad{load, late})
+	is.True(assigned[1] > assigned[0])
+	is.True(assigned[0] >= 4)
 
-	// How many engines there are to be is no matter of who is behind.
+	// The number of engines wanted does not depend on lateness.
 	is.Equal(policy.EnginesWanted(8, []policy.StepLoad{load, late}, 2, 100), policy.EnginesWanted(8, []policy.StepLoad{load, load}, 2, 100))
 	is.Equal(policy.EnginesKept(8, []policy.StepLoad{load, late}, 100, 0), policy.EnginesKept(8, []policy.StepLoad{load, load}, 100, 0))
 }
--- a/internal/policy/demand_test.go
+++ b/internal/policy/demand_test.go
@@ -8,12 +8,12 @@
 	"github.com/matryer/is"
 )
 
-// steps returns steps of equal size, one each interval, that took so long.
+// steps returns steps of equal size and duration, one per interval.
 func steps(count int, interval time.Duration, tokens float64, items, longest time.Duration) []policy.Step {
-	began := time.Unix(0, 0)
+	start := time.Unix(0, 0)
 	made := make([]policy.Step, count)
 	for i := range made {
-		made[i] = policy.Step{At: began.Add(time.Duration(i) * interval), Tokens: tokens, Items: items, Longest: longest, Open: true}
+		made[i] = policy.Step{At: start.Add(time.Duration(i) * interval), Tokens: tokens, Items: items, Longest: longest, Open: true}
 	}
 	return made
 }
@@ -30,9 +30,9 @@
 		}
 	}
 	late := steps(4, 6*time.Second, 100_000, 80*time.Second, 4*time.Second)
-	over := steps(4, interval, 100_000, 80*time.Second, 4*time.Second)
-	for i := range over {
-		over[i].Open = false
+	ended := steps(4, interval, 100_000, 80*time.Second, 4*time.Second)
+	for i := range ended {
+		ended[i].Open = false
 	}
 	tests := []struct {
 		name  string
@@ -41,30 +41,30 @@
 		want  policy.StepLoad
 	}{
 		{
-			"what its steps took", map[string][]policy.Step{"m": measured}, now,
+			"measured steps", map[string][]policy.Step{"m": measured}, now,
 			policy.StepLoad{Work: 80 * time.Second, Longest: 4 * time.Second, Interval: interval},
 		},
 		{
-			"the last steps alone", map[string][]policy.Step{"m": growing}, time.Unix(40, 0),
+			"only recent steps count", map[string][]policy.Step{"m": growing}, time.Unix(40, 0),
 			policy.StepLoad{Work: 80 * time.Second, Longest: 4 * time.Second, Interval: interval},
 		},
 		{
-			"what others took a token, before its own steps have told", map[string][]policy.Step{"m": unknown, "o": measured}, now,
+			"time per token of other models before its own steps are measured", map[string][]policy.Step{"m": unknown, "o": measured}, now,
 			policy.StepLoad{Work: 40 * time.Second, Longest: 4 * time.Second, Interval: interval},
 		},
 		{
-			"as much as the others, if nothing was asked", map[string][]policy.Step{"m": nil, "o": measured}, now,
+			"load of other models without own steps", map[string][]policy.Step{"m": nil, "o": measured}, now,
 			policy.StepLoad{Work: 80 * time.Second, Longest: 4 * time.Second, Interval: interval},
 		},
 		{
-			"no less for being late", map[string][]policy.Step{"m": late, "o": measured, "p": measured}, now,
+			"no lower load for lateness", map[string][]policy.Step{"m": late, "o": measured, "p": measured}, now,
 			policy.StepLoad{Work: 80 * time.Second, Longest: 4 * time.Second, Interval: interval},
 		},
-		{"tokens, where nobody knows more", map[string][]policy.Step{"m": unknown[:1]}, now, policy.StepLoad{Work: 50 * time.Second}},
+		{"tokens only, without any measurement", map[string][]policy.Step{"m": unknown[:1]}, now, policy.StepLoad{Work: 50 * time.Second}},
 		{"nothing known", map[string][]policy.Step{"m": nil}, now, policy.StepLoad{}},
-		{"a trainer that rests", map[string][]policy.Step{"m": over, "o": measured}, time.Unix(40, 0), policy.StepLoad{}},
+		{"an idle trainer", map[string][]policy.Step{"m": ended, "o": measured}, time.Unix(40, 0), policy.StepLoad{}},
 		{
-			"a trainer that rests for a moment", map[string][]policy.Step{"m": over}, time.Unix(30, 0),
+			"a trainer that has paused briefly", map[string][]policy.Step{"m": ended}, time.Unix(30, 0),
 			policy.StepLoad{Work: 80 * time.Second, Longest: 4 * time.Second, Interval: interval},
 		},
 	}
@@ -76,27 +76,28 @@
 	}
 }
 
-// TestAModelThatFallsBehindKeepsItsEngines plays the spiral of a trial: the model that is behind asks more seldom with every round.
-func TestAModelThatFallsBehindKeepsItsEngines(t *testing.T) {
+// TestLateModelKeepsItsEngines guards against a feedback loop: a model that falls behind requests steps less often, and
+// lost engines for that when loads were based on the request rate.
+func TestLateModelKeepsItsEngines(t *testing.T) {
 	is := is.New(t)
-	asked := map[string][]policy.Step{
+	recorded := map[string][]policy.Step{
 		"a": steps(8, 4*time.Second, 100_000, 80*time.Second, 4*time.Second),
 		"b": steps(8, 4*time.Second, 100_000, 80*time.Second, 4*time.Second),
 		"c": steps(8, 4*time.Second, 100_000, 80*time.Second, 4*time.Second),
 	}
 	for interval := 4 * time.Second; interval < 20*time.Second; interval += time.Second {
 		count := int(32 * time.Second / interval)
-		asked["c"] = steps(count, interval, 100_000, 80*time.Second, 4*time.Second)
-		loads := policy.StepLoads(asked, time.Unix(32, 0))
-		dealt := policy.Deal(30, 6, []policy.StepLoad{loads["a"], loads["b"], loads["c"]})
-		is.Equal(dealt, []int{10, 10, 10})
+		recorded["c"] = steps(count, interval, 100_000, 80*time.Second, 4*time.Second)
+		loads := policy.StepLoads(recorded, time.Unix(32, 0))
+		assigned := policy.Deal(30, 6, []policy.StepLoad{loads["a"], loads["b"], loads["c"]})
+		is.Equal(assigned, []int{10, 10, 10})
 	}
 }
 
-// TestATrainerThatCannotHandInDoesNotRest is the fault found on days on which the store is away: steps that were accepted late, close to
-// the next ones, made the interval look short, and a model whose next step could not be handed in yet was taken to rest. It lost six of
-// seven engines a moment before its step came.
-func TestATrainerThatCannotHandInDoesNotRest(t *testing.T) {
+// TestDelayedSubmissionIsNotIdle guards against a fault during outages of the store: steps that were accepted late,
+// close to the next ones, made the interval look short, and a model whose next step could not be submitted yet counted
+// as idle. It lost six of seven engines just before its step arrived.
+func TestDelayedSubmissionIsNotIdle(t *testing.T) {
 	is := is.New(t)
 	at := func(seconds ...float64) []policy.Step {
 		var steps []policy.Step
@@ -111,13 +112,14 @@
 	loads := policy.StepLoads(steps, time.Unix(18, 0))
 	is.True(loads["m"].Work > 0)
 	is.Equal(loads["m"].Interval, 4*time.Second)
-	// It does rest when it has asked for nothing for long.
+	// The model is idle once it has requested nothing for long.
 	is.Equal(policy.StepLoads(steps, time.Unix(40, 0))["m"], policy.StepLoad{})
 }
 
-// TestATrainerThatIsBehind answers a trainer whose steps come later and later while another keeps its schedule: the lateness of its last
-// step counts, up to one interval, so that engines go where somebody waits. One that was late once and has caught up counts as before.
-func TestATrainerThatIsBehind(t *testing.T) {
+// TestLatenessOfTrainers has a trainer request its steps later and later while another one keeps its schedule. The
+// lateness of its last step counts, up to one interval, so that engines go to the trainer that waits. A trainer that was
+// late once and has caught up has no lateness.
+func TestLatenessOfTrainers(t *testing.T) {
 	is := is.New(t)
 	const interval = 4 * time.Second
 	now := time.Unix(30, 0)
--- a/internal/policy/lengths.go
+++ b/internal/policy/lengths.go
@@ -2,72 +2,72 @@
 
 import "slices"
 
-// Lengths learns how many events items come to from what was estimated of them and what they came to, and tells how many are
-// left of one that runs. Estimates are in tokens, and often far off; what has come of an item tells more of it than its
-// estimate once that is passed. The zero value knows nothing. It is not safe for concurrent use.
+// Lengths learns the ratio of actual to estimated length from completed items, and predicts how many events are left of
+// a running one. Estimates are in tokens and often far off; once an item has passed its estimate, the events it has
+// produced predict its length better. The zero value has learned nothing. A Lengths is not safe for concurrent use.
 type Lengths struct {
-	// ratios are events over estimate of the items that came to their end last, in order of size; order is the same in order
-	// of arrival.
-	ratios []float64
-	order  []float64
-	// events are what the same items came to, in order of arrival.
-	events []int
+	// sortedRatios are the ratios of events to estimate of the last completed items, in ascending order; ratiosByArrival
+	// are the same in order of arrival.
+	sortedRatios    []float64
+	ratiosByArrival []float64
+	// eventsByArrival are the lengths of the same items, in order of arrival.
+	eventsByArrival []int
 }
 
-// lengthsKept is how many items the distribution rests on: enough for its upper tenth to hold a few dozen, and few enough
-// to follow a model whose outputs grow as it is trained.
-const lengthsKept = 256
+// maxLengthSamples is the number of items in the distribution: enough for its upper tenth to contain a few dozen, and
+// few enough to follow a model whose outputs grow during training.
+const maxLengthSamples = 256
 
-// capAfter is how many items must be known before expected lengths are capped by the longest of them: of 64 items a few are among the
-// longest twentieth.
-const capAfter = 64
+// minSamplesForCap is the number of items from which on expected lengths are capped by the longest one. Of 64 items, a
+// few are among the longest twentieth.
+const minSamplesForCap = 64
 
-// Learn takes an item that came to its end.
+// Learn adds a completed item.
 func (l *Lengths) Learn(estimate, events int) {
 	if estimate <= 0 || events <= 0 {
 		return
 	}
-	if len(l.order) == lengthsKept {
-		place, _ := slices.BinarySearch(l.ratios, l.order[0])
-		l.ratios = slices.Delete(l.ratios, place, place+1)
-		l.order, l.events = l.order[1:], l.events[1:]
+	if len(l.ratiosByArrival) == maxLengthSamples {
+		index, _ := slices.BinarySearch(l.sortedRatios, l.ratiosByArrival[0])
+		l.sortedRatios = slices.Delete(l.sortedRatios, index, index+1)
+		l.ratiosByArrival, l.eventsByArrival = l.ratiosByArrival[1:], l.eventsByArrival[1:]
 	}
 	ratio := float64(events) / float64(estimate)
-	place, _ := slices.BinarySearch(l.ratios, ratio)
-	l.ratios = slices.Insert(l.ratios, place, ratio)
-	l.order, l.events = append(l.order, ratio), append(l.events, events)
+	index, _ := slices.BinarySearch(l.sortedRatios, ratio)
+	l.sortedRatios = slices.Insert(l.sortedRatios, index, ratio)
+	l.ratiosByArrival, l.eventsByArrival = append(l.ratiosByArrival, ratio), append(l.eventsByArrival, events)
 }
 
-// Known tells whether any item was learnt from.
+// Known reports whether any item was added.
 func (l *Lengths) Known() bool {
-	return len(l.ratios) > 0
+	return len(l.sortedRatios) > 0
 }
 
-// Left returns how many events are still to come of an item of which made have, on average over the items known that were
-// no shorter. It is 0 if nothing is known.
-func (l *Lengths) Left(estimate, made int) float64 {
-	if estimate <= 0 || len(l.ratios) == 0 {
+// Left returns the expected number of events left of an item that has made some, as the average over the known items
+// that were at least as long relative to their estimates. It is 0 if nothing is known.
+func (l *Lengths) Left(estimate, produced int) float64 {
+	if estimate <= 0 || len(l.sortedRatios) == 0 {
 		return 0
 	}
-	passed := float64(made) / float64(estimate)
-	place, _ := slices.BinarySearch(l.ratios, passed)
-	longer := l.ratios[place:]
+	ratioSoFar := float64(produced) / float64(estimate)
+	index, _ := slices.BinarySearch(l.sortedRatios, ratioSoFar)
+	longer := l.sortedRatios[index:]
 	if len(longer) == 0 {
-		// Nothing known is as long. The longest that is known stands in for what is left beyond it.
-		return max(1, float64(made)-l.ratios[len(l.ratios)-1]*float64(estimate))
+		// No known item was as long. The overrun beyond the longest one estimates what is left.
+		return max(1, float64(produced)-l.sortedRatios[len(l.sortedRatios)-1]*float64(estimate))
 	}
 	sum := 0.0
 	for _, ratio := range longer {
 		sum += ratio
 	}
-	return max(1, l.capped(sum/float64(len(longer))*float64(estimate))-float64(made))
+	return max(1, l.capped(sum/float64(len(longer))*float64(estimate))-float64(produced))
 }
 
-// capped bounds an expected length, in events, by the longest known one: engines end answers at some number of tokens, and the ratios of
-// short items are too high for long ones.
+// capped limits an expected length, in events, to the longest known one. Engines end responses at some number of tokens,
+// and the ratios of short items are too high for long ones.
 func (l *Lengths) capped(expected float64) float64 {
-	if len(l.events) < capAfter {
+	if len(l.eventsByArrival) < minSamplesForCap {
 		return expected
 	}
-	return min(expected, float64(slices.Max(l.events)))
+	return min(expected, float64(slices.Max(l.eventsByArrival)))
 }
--- a/internal/policy/lengths_test.go
+++ b/internal/policy/lengths_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestLeft learns from items whose estimates are off by a factor drawn at random, and checks what is told of one that runs: it
-// is right on average, grows less than what has come, and never falls to nothing.
+// TestLeft adds items whose estimates are off by a random factor. The predicted remainder must be right on average, must
+// shrink more slowly than events arrive, and must never reach 0.
 func TestLeft(t *testing.T) {
 	is := is.New(t)
 	var lengths policy.Lengths
@@ -31,7 +31,7 @@
 	}
 	is.True(math.Abs(lengths.Left(100*tokensPerEvent, 0)-mean) < 2)
 	is.True(math.Abs(lengths.Left(10*tokensPerEvent, 0)-mean/10) < 1)
-	// An item that has come to its estimate is one of the longer half, and has more left than its estimate tells.
+	// An item that has reached its estimate is in the longer half and has more left than its estimate says.
 	is.True(lengths.Left(100*tokensPerEvent, 100) > 20)
 	for made := range 2000 {
 		is.True(lengths.Left(100*tokensPerEvent, made) >= 1)
@@ -39,8 +39,8 @@
 	is.Equal(lengths.Left(0, 10), 0.0)
 }
 
-// TestLengthsFollowTheModel checks that what was learnt long ago counts no more.
-func TestLengthsFollowTheModel(t *testing.T) {
+// TestLengthsForgetOldItems checks that old items no longer count, so that expected lengths follow the model.
+func TestLengthsForgetOldItems(t *testing.T) {
 	is := is.New(t)
 	var lengths policy.Lengths
 	for range 300 {
@@ -52,20 +52,20 @@
 	is.True(math.Abs(lengths.Left(100, 0)-30) < 1e-9)
 }
 
-// TestNoItemIsExpectedToBeLongerThanAny answers engines that end answers at some number of tokens: ratios that short items came to made
-// steps out to last twice as long as any item does, so that items which held them seemed to have time.
-func TestNoItemIsExpectedToBeLongerThanAny(t *testing.T) {
-	const most = 145
+// TestExpectedLengthIsCapped covers engines that end responses at some number of tokens. The ratios of short items made
+// steps seem twice as long as any item can be, so that the items on their critical path seemed to have time.
+func TestExpectedLengthIsCapped(t *testing.T) {
+	const maxEvents = 145
 	is := is.New(t)
 	var lengths policy.Lengths
 	random := rand.New(rand.NewSource(1))
 	for range 256 {
 		estimate := 10 + random.Intn(100)
-		lengths.Learn(estimate, min(most, max(1, int(float64(estimate)*math.Exp(0.8*random.NormFloat64())))))
+		lengths.Learn(estimate, min(maxEvents, max(1, int(float64(estimate)*math.Exp(0.8*random.NormFloat64())))))
 	}
 	is.True(lengths.Left(20, 0) < 60)
-	is.Equal(lengths.Left(1000, 0), float64(most))
-	is.Equal(lengths.Left(1000, 100), float64(most-100))
-	// What goes beyond it all the same has something left.
-	is.True(lengths.Left(1000, 2*most) >= 1)
+	is.Equal(lengths.Left(1000, 0), float64(maxEvents))
+	is.Equal(lengths.Left(1000, 100), float64(maxEvents-100))
+	// An item beyond the cap still has something left.
+	is.True(lengths.Left(1000, 2*maxEvents) >= 1)
 }
--- a/internal/policy/lookahead_test.go
+++ b/internal/policy/lookahead_test.go
@@ -14,13 +14,13 @@
 		behind          uint64
 		want            float64
 	}{
-		{"idle time counts alone", 1, 0, 3, 3},
+		{"idle time only", 1, 0, 3, 3},
 		{"no weights", 0, 0, 2, 2},
-		{"idle time counts most", 0.8, 0.2, 3, 3},
-		{"even", 1, 1, 2, 2 * 0.3 / 0.55},
-		{"staleness counts most", 0.3, 0.7, 2, 2 * 0.1 / 0.55},
-		{"staleness counts alone", 0, 1, 2, 0},
-		{"nothing stale may be delivered", 1, 0, 0, 0},
+		{"mostly idle time", 0.8, 0.2, 3, 3},
+		{"equal weights", 1, 1, 2, 2 * 0.3 / 0.55},
+		{"mostly staleness", 0.3, 0.7, 2, 2 * 0.1 / 0.55},
+		{"staleness only", 0, 1, 2, 0},
+		{"no stale samples allowed", 1, 0, 0, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/policy/outlook.go
+++ b/internal/policy/outlook.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Outlook is the pace to expect of an engine. The zero value says that nothing is known.
+// Outlook is the expected pace of an engine. The zero value means that the pace is unknown.
 type Outlook struct {
-	// Now and Usual are times between two events; Now is the longer one or the same.
+	// Now and Usual are times between two events; Now is never the shorter one.
 	Now, Usual time.Duration
-	// Slowed is how long the engine has been slower than usual.
+	// Slowed is the time for which the engine has been slower than usual.
 	Slowed time.Duration
 }
 
-// Steady returns the outlook of an engine that keeps one pace.
+// Steady returns the forecast for an engine with a constant pace.
 func Steady(pace time.Duration) Outlook {
 	return Outlook{Now: pace, Usual: pace}
 }
 
-// Known tells whether the engine's pace is known.
+// Known reports whether the engine's pace is known.
 func (o Outlook) Known() bool {
 	return o.Usual > 0
 }
 
-// Time forecasts how long a number of events takes. A slowdown is expected to last as long again as it has lasted; the other events come
-// at the usual pace.
+// Time returns the expected duration of a number of events. A slowdown is expected to last as long again as it has
+// lasted; the remaining events take the usual pace.
 func (o Outlook) Time(events float64) time.Duration {
 	slow := 0.0
 	if o.Now > o.Usual {
@@ -30,39 +30,43 @@
 	return time.Duration(slow*float64(o.Now) + (events-slow)*float64(o.Usual))
 }
 
-// Delay returns how much later work with a number of events left ends at an engine than both its slack and the quickest pace allow, 0 if
-// either pace is not known.
-func Delay(events float64, engine Outlook, quickest, slack time.Duration) time.Duration {
-	if !engine.Known() || quickest <= 0 {
+// Delay returns by how much work with a number of events left ends later at an engine than both its slack and the
+// fastest pace allow, 0 if either pace is unknown.
+func Delay(events float64, engine Outlook, fastest, slack time.Duration) time.Duration {
+	if !engine.Known() || fastest <= 0 {
 		return 0
 	}
-	return max(0, engine.Time(events)-max(slack, Steady(quickest).Time(events)))
+	return max(0, engine.Time(events)-max(slack, Steady(fastest).Time(events)))
 }
 
-// Declines tells whether work that has waited for a time waits on for a quicker engine rather than begin on one that delays it.
-// It waits no longer than the delay, so that it ends no later than the delay after the best time, however long quicker
-// engines stay full (the ski rental rule: at most twice what knowing would have cost), and never longer than declinesMost.
+// Declines reports whether work that has waited for some time keeps waiting for a faster engine instead of starting on
+// one that delays it. It waits no longer than that delay, so that it ends at most the delay after the best possible
+// time, however long faster engines stay full (the ski rental rule: at most twice the optimal cost), and never longer
+// than maxFastEngineWait.
 func Declines(waited, delay time.Duration) bool {
-	return waited < min(delay, declinesMost)
+	return waited < min(delay, maxFastEngineWait)
 }
 
-// declinesMost is how long work declines slow engines at most. Callers allow 5 s at no engine beside free ones, of which placing takes
-// some tenths; work that begins on a slow engine moves on once a quicker one has room.
-const declinesMost = 3 * time.Second
+// maxFastEngineWait is the longest time for which work waits for a faster engine. Callers allow 5 s without an engine
+// while others are free, of which placement takes some tenths of a second; work that starts on a slow engine moves once
+// a faster one has a free slot.
+const maxFastEngineWait = 3 * time.Second
 
 const (
-	// moveGainLeast is what a move must save by the forecast. A move opens a stream and reads the prompt and the text again, some tens of
-	// milliseconds at each of two engines; short slowdowns by other work of the engine's machine cost less than that and pass.
-	moveGainLeast = 400 * time.Millisecond
-	// moveFactor is how much quicker the other engine must be, so that noise in paces moves nothing.
-	moveFactor = 1.15
+	// minMoveGain is the forecast time that a move must save. A move opens a stream and prefills the prompt and the
+	// output so far again, some tens of milliseconds at each of two engines. Short slowdowns by other load on the
+	// engine's machine cost less than that and pass.
+	minMoveGain = 400 * time.Millisecond
+	// minMoveSpeedup is how many times faster the other engine must be, so that noise in the paces moves nothing.
+	minMoveSpeedup = 1.15
 )
 
-// WorthMoving tells whether work with a number of events left should go on at another engine. Time saved within its slack does not count.
+// WorthMoving reports whether work with a number of events left should continue at another engine. Time saved within its
+// slack does not count.
 func WorthMoving(events float64, engine, other Outlook, slack time.Duration) bool {
 	if !engine.Known() || !other.Known() {
 		return false
 	}
-	stays, moves := engine.Time(events), max(slack, other.Time(events))
-	return float64(stays) > moveFactor*float64(moves) && stays-moves >= moveGainLeast
+	stayTime, moveTime := engine.Time(events), max(slack, other.Time(events))
+	return float64(stayTime) > minMoveSpeedup*float64(moveTime) && stayTime-moveTime >= minMoveGain
 }
--- a/internal/policy/pace_test.go
+++ b/internal/policy/pace_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// TestAPauseOfAllStreamsIsNoSlowness checks that a pace outlasts one pause of all streams of an engine, and follows an engine
-// that has turned slow within as many events.
-func TestAPauseOfAllStreamsIsNoSlowness(t *testing.T) {
+// TestPaceIgnoresPauseOfAllStreams checks that one pause of all streams of an engine does not change its pace, and that
+// the pace follows an engine that has become slow within as many events.
+func TestPaceIgnoresPauseOfAllStreams(t *testing.T) {
 	is := is.New(t)
 	var pace policy.Pace
 	now := time.Unix(1000, 0)
@@ -29,15 +29,16 @@
 	is.Equal(pace.Value(), 140*time.Millisecond)
 }
 
-// TestBufferedEventsMakeNoEngineQuick answers readers that stand still under load: what an engine sent meanwhile comes at once, and such an
-// engine drew all work. Also, the word of another process on the usual pace counts until there is something measured.
-func TestBufferedEventsMakeNoEngineQuick(t *testing.T) {
-	const slow, learnt = 60 * time.Millisecond, 27 * time.Millisecond
+// TestBufferedEventsDoNotLowerPace covers readers that are paused under load: the events that an engine sent meanwhile
+// arrive at once, which made the engine look fast, so that it attracted all work. The test also checks that the usual
+// pace reported by another process counts until there are measurements.
+func TestBufferedEventsDoNotLowerPace(t *testing.T) {
+	const slow, seeded = 60 * time.Millisecond, 27 * time.Millisecond
 	is := is.New(t)
 	var pace policy.Pace
 	is.Equal(pace.Outlook(time.Unix(1000, 0)), policy.Outlook{})
-	pace.Seed(learnt)
-	is.Equal(pace.Outlook(time.Unix(1000, 0)), policy.Steady(learnt))
+	pace.Seed(seeded)
+	is.Equal(pace.Outlook(time.Unix(1000, 0)), policy.Steady(seeded))
 	now := time.Unix(1000, 0)
 	stream := func(count int) {
 		for range count {
@@ -55,12 +56,13 @@
 		}
 		is.Equal(pace.Outlook(now), policy.Steady(slow))
 	}
-	pace.Seed(learnt)
+	pace.Seed(seeded)
 	is.Equal(pace.Usual(), slow)
 }
 
-// TestForecast checks that a slowdown is taken to last as long again, and never to cost more than if it stayed.
-func TestForecast(t *testing.T) {
+// TestForecastTime checks that a slowdown is expected to last as long again, and never to cost more than a permanent
+// one.
+func TestForecastTime(t *testing.T) {
 	is := is.New(t)
 	slowed := policy.Outlook{Now: 60 * time.Millisecond, Usual: 30 * time.Millisecond, Slowed: 600 * time.Millisecond}
 	is.Equal(slowed.Time(5), 300*time.Millisecond)
@@ -70,49 +72,50 @@
 	is.Equal(policy.Outlook{}.Time(100), time.Duration(0))
 }
 
-// TestWaitingForAQuickEngineCostsTwiceAtMost plays work that begins on a slow engine once it has waited as long as that delays
-// it, against what it would have chosen had it known when a quick engine becomes free.
-func TestWaitingForAQuickEngineCostsTwiceAtMost(t *testing.T) {
+// TestWaitingCostsTwiceTheOptimumAtMost starts work on a slow engine after it has waited as long as that engine delays
+// it, and compares the total with the best choice under knowledge of when a fast engine becomes free.
+func TestWaitingCostsTwiceTheOptimumAtMost(t *testing.T) {
 	is := is.New(t)
-	const quick, slow = 40 * time.Millisecond, 53 * time.Millisecond
+	const fast, slow = 40 * time.Millisecond, 53 * time.Millisecond
 	random := rand.New(rand.NewSource(1))
 	for range 1000 {
 		events := float64(1 + random.Intn(200))
 		free := time.Duration(random.Intn(5000)) * time.Millisecond
-		delay := policy.Delay(events, policy.Steady(slow), quick, 0)
-		work := time.Duration(events * float64(quick))
-		known := work + min(free, delay)
+		delay := policy.Delay(events, policy.Steady(slow), fast, 0)
+		work := time.Duration(events * float64(fast))
+		optimal := work + min(free, delay)
 		// Until it has waited for the delay it declines the slow engine.
 		waits := min(free, delay)
 		for waited := time.Duration(0); waited < waits; waited += 10 * time.Millisecond {
 			is.True(policy.Declines(waited, delay))
 		}
 		is.True(!policy.Declines(delay, delay))
-		took := work + waits
+		actual := work + waits
 		if free > delay {
-			took += delay
+			actual += delay
 		}
-		is.True(took-work <= 2*(known-work))
+		is.True(actual-work <= 2*(optimal-work))
 	}
 }
 
-// TestShortSlowdownMovesNothing answers engines that other work on their machine slows down 2.5 times for stretches of some tenths of
-// a second: work that leaves them has its prompt read again and finds the next engine slowed as well. Work of 4 s stays at an
-// engine that was slow for 0.6 s, and leaves one that is slow for 6 s within 2 s; callers allow a step a few seconds.
-func TestShortSlowdownMovesNothing(t *testing.T) {
+// TestShortSlowdownDoesNotMoveWork covers engines that other load on their machine slows down 2.5 times for some tenths
+// of a second: work that moves has its prompt prefilled again and finds the next engine slowed as well. Work of 4 s must
+// stay at an engine that was slow for 0.6 s, and must leave one that is slow for 6 s within 2 s; callers allow a step a
+// few seconds.
+func TestShortSlowdownDoesNotMoveWork(t *testing.T) {
 	const (
 		usual, slowed = 27 * time.Millisecond, 67 * time.Millisecond
 		streams       = 4
 		short, long   = 600 * time.Millisecond, 6 * time.Second
 		events        = 150
-		leavesIn      = 2 * time.Second
+		maxMoveDelay  = 2 * time.Second
 	)
 	is := is.New(t)
 	other := policy.Steady(usual)
 	var pace policy.Pace
 	now := time.Unix(1000, 0)
-	// stream returns when the work would have moved, negative if never. Gaps are those of one stream each, and the streams of an engine
-	// come one after the other.
+	// stream returns when the work would have moved, negative if never. Each gap belongs to one stream, and the streams
+	// of an engine produce events in turn.
 	stream := func(gap, span time.Duration) (moved time.Duration) {
 		moved = -1
 		for passed := time.Duration(0); passed < span; passed += gap / streams {
@@ -131,9 +134,9 @@
 	}
 	is.Equal(pace.Usual(), usual)
 	moved := stream(slowed, long)
-	is.True(moved >= 0 && moved <= leavesIn)
+	is.True(moved >= 0 && moved <= maxMoveDelay)
 	is.Equal(pace.Usual(), slowed)
-	// Nothing came of it since: by then the slowdown may be over, but it has become the usual pace.
+	// Without further events the slowdown may be over by then, but it has become the usual pace.
 	is.Equal(pace.Outlook(now.Add(long)), policy.Steady(slowed))
 }
 
@@ -144,11 +147,11 @@
 		pace, other time.Duration
 		worth       bool
 	}{
-		{"much is left and the other is quicker", 60, 53 * time.Millisecond, 40 * time.Millisecond, true},
-		{"little is left", 10, 53 * time.Millisecond, 40 * time.Millisecond, false},
-		{"little is left on an engine that crawls", 5, 150 * time.Millisecond, 40 * time.Millisecond, true},
-		{"paces differ as measurements do", 1000, 44 * time.Millisecond, 40 * time.Millisecond, false},
-		{"the other is slower", 1000, 40 * time.Millisecond, 53 * time.Millisecond, false},
+		{"many events left and the other engine is faster", 60, 53 * time.Millisecond, 40 * time.Millisecond, true},
+		{"few events left", 10, 53 * time.Millisecond, 40 * time.Millisecond, false},
+		{"few events left on a very slow engine", 5, 150 * time.Millisecond, 40 * time.Millisecond, true},
+		{"difference within measurement noise", 1000, 44 * time.Millisecond, 40 * time.Millisecond, false},
+		{"the other engine is slower", 1000, 40 * time.Millisecond, 53 * time.Millisecond, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -158,24 +161,25 @@
 	}
 }
 
-// TestOnlyWorkBeyondItsSlackInsists answers steps of which a few items are much the longest: the others took the quick engines' places
-// first come, waited for them beside slow engines that stood idle, and moved there, and none of that made their step end sooner.
-func TestOnlyWorkBeyondItsSlackInsists(t *testing.T) {
-	const quick, slow = 27 * time.Millisecond, 60 * time.Millisecond
+// TestWorkWithinSlackAcceptsSlowEngines covers steps in which a few items are much longer than the others. The short
+// items took the slots of fast engines first, waited for them while slow engines were idle, and moved there, and none of
+// that made their step end sooner.
+func TestWorkWithinSlackAcceptsSlowEngines(t *testing.T) {
+	const fast, slow = 27 * time.Millisecond, 60 * time.Millisecond
 	is := is.New(t)
-	slack := policy.Slack(140, quick)
+	slack := policy.Slack(140, fast)
 	for _, events := range []float64{1, 20, 45} {
-		is.Equal(policy.Delay(events, policy.Steady(slow), quick, slack), time.Duration(0))
-		is.True(!policy.WorthMoving(events, policy.Steady(slow), policy.Steady(quick), slack))
+		is.Equal(policy.Delay(events, policy.Steady(slow), fast, slack), time.Duration(0))
+		is.True(!policy.WorthMoving(events, policy.Steady(slow), policy.Steady(fast), slack))
 	}
 	for _, events := range []float64{60, 100, 140} {
-		is.True(policy.Delay(events, policy.Steady(slow), quick, slack) > 0)
-		is.True(policy.WorthMoving(events, policy.Steady(slow), policy.Steady(quick), slack))
+		is.True(policy.Delay(events, policy.Steady(slow), fast, slack) > 0)
+		is.True(policy.WorthMoving(events, policy.Steady(slow), policy.Steady(fast), slack))
 	}
-	// The longest has none to lose at the quickest engine.
-	is.Equal(policy.Delay(140, policy.Steady(quick), quick, slack), time.Duration(0))
-	// Nothing is known.
-	is.Equal(policy.Slack(0, quick), time.Duration(0))
+	// The longest item has no delay at the fastest engine.
+	is.Equal(policy.Delay(140, policy.Steady(fast), fast, slack), time.Duration(0))
+	// Neither the length nor the pace is known.
+	is.Equal(policy.Slack(0, fast), time.Duration(0))
 	is.Equal(policy.Slack(140, 0), time.Duration(0))
 }
 
@@ -183,13 +187,13 @@
 	is := is.New(t)
 	accepted := time.Unix(1000, 0)
 	is.Equal(policy.LatestStart(accepted, 100, 40*time.Millisecond), accepted.Add(-4*time.Second))
-	// Of a later job, long work comes before short work of the one before it.
+	// Long work of a later job starts before short work of an earlier one.
 	short := policy.LatestStart(accepted, 10, 40*time.Millisecond)
 	is.True(policy.LatestStart(accepted.Add(2*time.Second), 100, 40*time.Millisecond).Before(short))
 	is.Equal(policy.LatestStart(accepted, 0, 0), accepted)
 }
 
-// TestCriticalEvents checks which groups a trainer is taken to wait for.
+// TestCriticalEvents checks which groups the trainer is expected to wait for.
 func TestCriticalEvents(t *testing.T) {
 	others := []policy.GroupLength{{Events: 10}, {Events: 165}, {Events: 40}, {Events: 20}}
 	tests := []struct {
@@ -201,8 +205,8 @@
 		{"all", others, 4, 165},
 		{"all but the longest", others, 3, 40},
 		{"more than there are", others, 9, 165},
-		{"one that came again, however long", append([]policy.GroupLength{{Events: 120, Carried: true}}, others...), 3, 120},
-		{"none is wanted beside it", append([]policy.GroupLength{{Events: 5, Carried: true}}, others...), 1, 5},
+		{"a carried group of any length", append([]policy.GroupLength{{Events: 120, Carried: true}}, others...), 3, 120},
+		{"no group wanted besides the carried one", append([]policy.GroupLength{{Events: 5, Carried: true}}, others...), 1, 5},
 		{"none", nil, 3, 0},
 	}
 	for _, test := range tests {
--- a/internal/policy/pick.go
+++ b/internal/policy/pick.go
@@ -2,44 +2,45 @@
 
 import "strconv"
 
-// EngineState is what a gateway knows of one engine. It lags.
+// EngineState is a gateway's view of one engine. It lags behind the engine.
 type EngineState struct {
 	ID     string
 	Pool   string
 	Zone   string
 	Region string
-	// Served maps a model to the version last heard of; nil where nothing is known, which excludes nothing.
+	// Served maps a model to the last reported version; nil where nothing is known, which excludes nothing.
 	Served map[string]uint64
-	// InFlight is the streams running and waiting, as the dispatcher last said plus those this gateway sent since.
+	// InFlight is the number of running and waiting streams: the dispatcher's last report plus those that this gateway
+	// sent since.
 	InFlight int
-	// Slots is how many streams run at once; 0 where it is not known.
+	// Slots is the number of streams that run at once; 0 where it is not known.
 	Slots int
 	// Leaving and Quarantined engines get no new work.
 	Leaving     bool
 	Quarantined bool
 }
 
-// Snapshot is what a gateway knows when it chooses.
+// Snapshot is the gateway's knowledge at the time of a choice.
 type Snapshot struct {
 	Engines []EngineState
-	// Zone and Region are the gateway's own.
+	// Zone and Region are those of the gateway.
 	Zone   string
 	Region string
 }
 
-// Request is what a choice depends on.
+// Request describes the request that needs an engine.
 type Request struct {
 	Model    string
 	Versions VersionBounds
-	// Pools names the pools that may run the request, preferred first.
+	// Pools names the pools that may run the request, in order of preference.
 	Pools []string
-	// PrefixHash identifies the start of the prompt; requests with the same one share cache entries. 0 is none.
+	// PrefixHash identifies the start of the prompt; requests with the same one share cache entries. 0 means none.
 	PrefixHash uint64
 	// Exclude names engines that were tried already.
 	Exclude []string
 }
 
-// prefixTokens is how many tokens of a prompt decide its affinity.
+// prefixTokens is the number of tokens of a prompt that determine its affinity.
 const prefixTokens = 64
 
 // PrefixHash hashes the first tokens of a prompt; it is never 0.
@@ -54,7 +55,7 @@
 	return max(hash, 1)
 }
 
-// Weights of the scores. A prefix hit is worth a quarter of an engine's slots in load, and less than a crossing of zones;
+// Weights of the scores. A prefix hit is worth a quarter of an engine's slots in load, and less than a zone crossing;
 // that in turn is worth less than a full queue.
 const (
 	loadWeight     = 4.0
@@ -62,32 +63,33 @@
 	zoneWeight     = 1.5
 	regionWeight   = 3.0
 	poolWeight     = 2.0
-	// assumedSlots stands in while an engine's slots are not known.
-	assumedSlots = 8
+	// defaultSlots is used while the number of an engine's slots is not known.
+	defaultSlots = 8
 )
 
 // candidate is an engine that may run a request.
 type candidate struct {
 	engine *EngineState
-	// distance is the cost of the way from the gateway to the engine.
+	// distance is the cost of the network path from the gateway to the engine.
 	distance float64
 }
 
-// PickEngine chooses the engine for a request: filter, score, pick the best. ok is false where no engine may run it.
+// PickEngine chooses the engine for a request: it filters the engines, scores them and returns the best. ok is false
+// where no engine may run the request.
 //
-// Requests with the same prefix go to the same engine, the first in the prefix's rendezvous order among the nearest ones,
-// as long as its load is not much above the others'. Beyond that they go to the engine of the least load, and among
-// equals again by rendezvous order, so that a prefix spreads over few engines however popular it is.
+// Requests with the same prefix go to the same engine, the first in the prefix's rendezvous order among the nearest
+// ones, as long as its load is not much above that of the others. Beyond that they go to the engine with the lowest
+// load, and among equals again by rendezvous order, so that a prefix uses few engines however popular it is.
 func PickEngine(snapshot Snapshot, request Request) (engineID string, ok bool) {
 	candidates := filterEngines(snapshot, request)
 	if len(candidates) == 0 {
 		return "", false
 	}
 	prefix := strconv.FormatUint(request.PrefixHash, 16)
-	home := affineEngine(candidates, prefix)
-	best, bestScore := candidates[0], scoreEngine(request, candidates[0], home)
+	affine := affineEngine(candidates, prefix)
+	best, bestScore := candidates[0], scoreEngine(request, candidates[0], affine)
 	for _, other := range candidates[1:] {
-		score := scoreEngine(request, other, home)
+		score := scoreEngine(request, other, affine)
 		if score > bestScore || score == bestScore && other.beats(best, prefix) {
 			best, bestScore = other, score
 		}
@@ -95,7 +97,7 @@
 	return best.engine.ID, true
 }
 
-// filterEngines keeps the engines that may run the request.
+// filterEngines returns the engines that may run the request.
 func filterEngines(snapshot Snapshot, request Request) []candidate {
 	kept := make([]candidate, 0, len(snapshot.Engines))
 	for i := range snapshot.Engines {
@@ -127,11 +129,11 @@
 	return -1
 }
 
-// load is streams in flight over slots.
+// load returns the ratio of streams in flight to slots.
 func load(engine *EngineState) float64 {
 	slots := engine.Slots
 	if slots <= 0 {
-		slots = assumedSlots
+		slots = defaultSlots
 	}
 	return float64(engine.InFlight) / float64(slots)
 }
@@ -142,21 +144,21 @@
 	return own > others || own == others && c.engine.ID < other.engine.ID
 }
 
-// affineEngine is the first of the nearest engines in the prefix's rendezvous order.
+// affineEngine returns the first of the nearest engines in the prefix's rendezvous order.
 func affineEngine(candidates []candidate, prefix string) string {
-	home := candidates[0]
+	nearest := candidates[0]
 	for _, other := range candidates[1:] {
-		if other.distance < home.distance || other.distance == home.distance && other.beats(home, prefix) {
-			home = other
+		if other.distance < nearest.distance || other.distance == nearest.distance && other.beats(nearest, prefix) {
+			nearest = other
 		}
 	}
-	return home.engine.ID
+	return nearest.engine.ID
 }
 
-func scoreEngine(request Request, scored candidate, home string) float64 {
+func scoreEngine(request Request, scored candidate, affine string) float64 {
 	score := -loadWeight*load(scored.engine) - scored.distance
 	score -= poolWeight * float64(indexOf(request.Pools, scored.engine.Pool))
-	if request.PrefixHash != 0 && scored.engine.ID == home {
+	if request.PrefixHash != 0 && scored.engine.ID == affine {
 		score += affinityWeight
 	}
 	return score
--- a/internal/policy/pick_test.go
+++ b/internal/policy/pick_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestPickEngineKeepsPrefixesTogetherUntilLoadForbids(t *testing.T) {
+func TestPickEngineSpreadsPrefixesByLoad(t *testing.T) {
 	is := is.New(t)
 	snapshot := Snapshot{Zone: "z", Region: "r"}
 	for i := range 8 {
@@ -55,28 +55,28 @@
 		is.True(ok)
 		return int(id[1] - '0')
 	}
-	homes := map[int]bool{}
+	used := map[int]bool{}
 	for prefix := range uint64(100) {
 		is.Equal(pick(prefix+1), pick(prefix+1))
-		homes[pick(prefix+1)] = true
+		used[pick(prefix+1)] = true
 	}
-	is.Equal(len(homes), 8) // prefixes spread over all engines
+	is.Equal(len(used), 8) // prefixes are distributed over all engines
 	for range 64 {
 		snapshot.Engines[pick(42)].InFlight++
 	}
 	for _, engine := range snapshot.Engines {
-		is.True(engine.InFlight <= 10) // one hot prefix fills the pool evenly: 8 each, home two more
+		is.True(engine.InFlight <= 10) // one popular prefix fills the pool evenly: 8 each, and two more on its own engine
 	}
 	near := pick(7)
 	snapshot.Engines[near].InFlight++
-	is.Equal(pick(7), near) // a prefix hit is worth a little load
+	is.Equal(pick(7), near) // a prefix hit outweighs a small difference in load
 	for i := range snapshot.Engines {
 		if snapshot.Engines[i].InFlight = 0; i != near {
 			snapshot.Engines[i].Zone = "far"
 		}
 	}
 	is.Equal(pick(7), near)
-	is.Equal(pick(8), near) // and distance is worth more than a hit
+	is.Equal(pick(8), near) // distance outweighs a prefix hit
 	is.True(PrefixHash(nil) != 0)
 	is.True(PrefixHash([]uint32{1, 2}) != PrefixHash([]uint32{2, 1}))
 }
@@ -90,7 +90,7 @@
 		retry  time.Duration
 	}{
 		{"free slots", func(s *AdmissionState) { s.InFlight = 3; s.Remaining = time.Millisecond }, VerdictQueue, 0},
-		{"room in the queue", func(s *AdmissionState) { s.InFlight = 4; s.Queued = 15 }, VerdictQueue, 0},
+		{"free place in the queue", func(s *AdmissionState) { s.InFlight = 4; s.Queued = 15 }, VerdictQueue, 0},
 		{"queue full", func(s *AdmissionState) { s.InFlight = 4; s.Queued = 16 }, VerdictRefuse, 5 * time.Second},
 		{"bundle's queue full", func(s *AdmissionState) { s.InFlight = 4; s.Queued = 2; s.MaxQueue = 2 }, VerdictRefuse, time.Second},
 		{"bundle's limit", func(s *AdmissionState) { s.InFlight = 2; s.Queued = 1; s.MaxInFlight = 1; s.MaxQueue = 2 }, VerdictRefuse, 3 * time.Second},
@@ -137,7 +137,7 @@
 		}
 		is.Equal(inWave, map[int]int{0: 6, 1: 6, 2: 6, 3: 2})
 	}
-	is.True(len(last) > 15) // the last wave rotates
+	is.True(len(last) > 15) // different engines load last for different versions
 	is.Equal(WaveDelay(2, 4, 12*time.Second, time.Minute), 6*time.Second)
 	is.Equal(WaveDelay(2, 4, 12*time.Second, time.Second), 2*time.Second) // no longer than the loads need
 	is.Equal(WaveDelay(0, 1, 12*time.Second, time.Second), time.Duration(0))
@@ -149,5 +149,5 @@
 	is.Equal(DesiredVersion(9, []VersionBounds{{Min: 3, Max: 7}}), uint64(7))
 	is.Equal(DesiredVersion(2, []VersionBounds{{Min: 3}}), uint64(0))
 	is.Equal(DesiredVersion(9, []VersionBounds{{Max: 7}, {Min: 5, Max: 6}}), uint64(6))
-	is.Equal(DesiredVersion(9, []VersionBounds{{Max: 4}, {Min: 5}}), uint64(4)) // the first one is served
+	is.Equal(DesiredVersion(9, []VersionBounds{{Max: 4}, {Min: 5}}), uint64(4)) // the first bounds apply
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,11 +1,11 @@
-// Package policy holds the decisions on whose work runs where: shares of slots, waves of weight loads, the choice of an
-// engine for an interactive request, admission. Everything is a pure function of its arguments: no I/O, no clock, no
-// randomness. The same code decides in a node, in virtual time and in a scale run.
+// Package policy makes the scheduling decisions: shares of slots, waves of weight loads, the choice of an engine for an
+// interactive request, and admission. Everything is a pure function of its arguments: no I/O, no clock, no randomness.
+// The same code runs in a node, in virtual time and in scale tests.
 package policy
 
 import "github.com/cespare/xxhash/v2"
 
-// hashOf mixes strings into 64 even bits. The separator keeps ("ab","c") apart from ("a","bc").
+// hashOf hashes strings to 64 uniformly distributed bits. The separator distinguishes ("ab","c") from ("a","bc").
 func hashOf(parts ...string) uint64 {
 	digest := xxhash.New()
 	for _, part := range parts {
