--- a/internal/policy/scale.go
+++ b/internal/policy/scale.go
@@ -8,88 +8,92 @@
 )
 
 const (
-	// waitShare is the part of its longest item's time by which the typical step may be longer for want of engines. Steps that come
-	// while others are behind, and engines that are lost, take up the rest of what a step is allowed.
-	waitShare = 0.5
-	// keptShare is the same for engines that are there anyway: one that is kept up to date costs a load a version and no more.
-	keptShare = 0.1
-	// keptSlack is the part by which more engines than needed stay up to date before any is left behind.
+	// maxWaitShare is the part of its longest item's time by which the typical step may be longer for lack of engines.
+	// The rest of the time allowed for a step covers steps that arrive while others are late, and lost engines.
+	maxWaitShare = 0.5
+	// keptWaitShare is the same for engines that exist anyway: keeping one up to date costs no more than one load per
+	// version.
+	keptWaitShare = 0.1
+	// keptSlack is the share by which the engines kept up to date may exceed the need before any is dropped.
 	keptSlack = 0.34
-	// unmeasuredStep is how long the items of a typical step may hold places while it is not known how long the longest of them takes:
-	// some have to wait no longer than that for their first place. It bounds what is loaded and ordered before the first step has ended.
-	unmeasuredStep = time.Second
-	// shrinkShare is the part of the engines that must be needless before any are given back: a step more or less changes what the
-	// last steps took by less.
-	shrinkShare = 0.25
+	// unmeasuredStepLimit is the allowed slot time of the typical step while the time of its longest item is unknown;
+	// some items wait at most that long for their first slot. It limits what is loaded and ordered before the first step
+	// has ended.
+	unmeasuredStepLimit = time.Second
+	// minShrinkShare is the share of the engines that must be surplus before any are released. One step more or less
+	// changes the measured load by less.
+	minShrinkShare = 0.25
 )
 
-// EnginesWanted returns how many engines of so many places each the steps of some models ask for: the fewest with which the typical step
-// is longer than its longest item by no more than waitShare, at least least and at most most. It is most if no number does, and least
-// if nothing is known of any step.
-func EnginesWanted(slots float64, loads []StepLoad, least, most int) int {
-	return fewest(slots, loads, least, most, waitShare)
+// EnginesWanted returns how many engines with a number of slots each the steps of some models need: the smallest number
+// between lower and upper with which the typical step exceeds its longest item by no more than maxWaitShare. It is upper
+// if no number suffices, and lower if no load is known.
+func EnginesWanted(slots float64, loads []StepLoad, lower, upper int) int {
+	return minEngines(slots, loads, lower, upper, maxWaitShare)
 }
 
-// EnginesKept returns how many of a pool's engines are kept up to date, of which so many were before: all while nothing is known of any
-// step, and otherwise as many as bring steps within keptShare of their shortest. A pool that is much larger than its work would load
-// most of its weights for nothing.
-func EnginesKept(slots float64, loads []StepLoad, engines, before int) int {
+// EnginesKept returns how many of a pool's engines are kept up to date, given the previous number: all while no load is
+// known, and otherwise enough to bring steps within keptWaitShare of their shortest time. A pool that is much larger
+// than its load would make most of its weight loads for nothing.
+func EnginesKept(slots float64, loads []StepLoad, engines, previous int) int {
 	if !slices.ContainsFunc(loads, func(load StepLoad) bool { return load.Work > 0 }) {
 		return engines
 	}
-	wanted := fewest(slots, loads, min(engines, len(loads)), engines, keptShare)
-	if before >= wanted && float64(before) <= (1+keptSlack)*float64(wanted)+1 {
-		wanted = before
+	wanted := minEngines(slots, loads, min(engines, len(loads)), engines, keptWaitShare)
+	if previous >= wanted && float64(previous) <= (1+keptSlack)*float64(wanted)+1 {
+		wanted = previous
 	}
 	return min(wanted, engines)
 }
 
-// fewest returns the least number of engines with which the typical step is longer than its longest item by no more than a share.
-func fewest(slots float64, loads []StepLoad, least, most int, share float64) int {
+// minEngines returns the smallest number of engines with which the typical step exceeds its longest item by no more than
+// a share.
+func minEngines(slots float64, loads []StepLoad, lower, upper int, share float64) int {
 	var busy []StepLoad
 	for _, load := range loads {
 		if load.Work > 0 {
-			// Engines are shared by who is behind; how many there are to be is a matter of what steps take.
+			// Lateness affects the division of engines between models. The total depends on step times only.
 			load.Behind = 0
 			busy = append(busy, load)
 		}
 	}
 	if len(busy) == 0 {
-		return least
+		return lower
 	}
-	endless := make([]int, len(busy))
-	for i := range endless {
-		endless[i] = 1 << 20
+	unlimited := make([]int, len(busy))
+	for i := range unlimited {
+		unlimited[i] = 1 << 20
 	}
-	allowed := time.Duration((1 + share) * float64(TypicalStep(endless, slots, busy)))
+	allowed := time.Duration((1 + share) * float64(TypicalStep(unlimited, slots, busy)))
 	if !slices.ContainsFunc(busy, func(load StepLoad) bool { return load.Longest > 0 }) {
-		allowed = unmeasuredStep
+		allowed = unmeasuredStepLimit
 	}
 	// More engines never make a step longer.
-	above := sort.Search(most-least, func(above int) bool {
-		return TypicalStep(Deal(least+above, slots, busy), slots, busy) <= allowed
+	above := sort.Search(upper-lower, func(above int) bool {
+		return TypicalStep(Deal(lower+above, slots, busy), slots, busy) <= allowed
 	})
-	return least + above
+	return lower + above
 }
 
-// ZoneEngines is what can be had of a pool's engines in a zone.
+// ZoneEngines describes the engines of a pool that are available in a zone.
 type ZoneEngines struct {
 	Zone string
-	// Regular counts the regular engines that are there and are to stay.
+	// Regular is the number of regular engines that exist and are not leaving.
 	Regular int
-	// Preemptible is how many preemptible ones were ordered last.
+	// Preemptible is the number of preemptible engines in the last order.
 	Preemptible int
-	// Price is what a preemptible engine costs there, relative to other zones.
+	// Price is the cost of a preemptible engine, relative to other zones.
 	Price float64
-	// Refused says that no more preemptible engines were to be had there lately.
+	// Refused means that the zone recently had no further preemptible engines.
 	Refused bool
 }
 
-// ScaleOrders returns how many preemptible engines to order in each zone, in the order given, so that a pool comes to so many engines with
-// its regular ones. most bounds the engines of a zone. They are spread evenly, the cheapest zone first, since all of a zone are taken
-// away at once. A zone that has no more keeps what was ordered. Engines are given back only if many are needless: what they cost is
-// little beside a step that is late, and each that comes back has to boot.
-func ScaleOrders(wanted, most int, zones []ZoneEngines) []int {
+// ScaleOrders returns how many preemptible engines to order in each zone, in the order of zones, so that a pool reaches
+// the wanted number together with its regular engines. zoneLimit is the maximum number of engines in a zone. Orders are
+// distributed evenly, the cheapest zone first, since a zone loses all its preemptible engines at once. A zone without
+// further engines keeps its last order. Engines are released only if many are surplus: they cost little compared with a
+// late step, and each one that returns has to boot.
+func ScaleOrders(wanted, zoneLimit int, zones []ZoneEngines) []int {
 	orders := make([]int, len(zones))
 	regular, ordered := 0, 0
 	for _, zone := range zones {
@@ -97,7 +101,7 @@
 		ordered += zone.Preemptible
 	}
 	missing := max(0, wanted-regular)
-	if missing < ordered && float64(ordered-missing) < shrinkShare*float64(regular+ordered) {
+	if missing < ordered && float64(ordered-missing) < minShrinkShare*float64(regular+ordered) {
 		missing = ordered
 	}
 	byPrice := make([]int, len(zones))
@@ -110,11 +114,11 @@
 	for missing > 0 {
 		next := -1
 		for _, i := range byPrice {
-			room := most - zones[i].Regular
+			available := zoneLimit - zones[i].Regular
 			if zones[i].Refused {
-				room = min(room, zones[i].Preemptible)
+				available = min(available, zones[i].Preemptible)
 			}
-			if orders[i] < room && (next < 0 || orders[i] < orders[next]) {
+			if orders[i] < available && (next < 0 || orders[i] < orders[next]) {
 				next = i
 			}
 		}
--- a/internal/policy/scale_test.go
+++ b/internal/policy/scale_test.go
@@ -20,39 +20,39 @@
 	return loads
 }
 
-// TestEnginesWantedAreTheFewest checks, over random loads, that the number lies within its bounds, that steps come near their shortest with
-// it unless it is the most, that they don't with one less, and that twice the work never asks for fewer.
-func TestEnginesWantedAreTheFewest(t *testing.T) {
+// TestEnginesWantedIsMinimal checks, over random loads, that the number lies within its bounds, that one engine less
+// does not suffice unless the number is a bound, and that twice the load never needs fewer engines.
+func TestEnginesWantedIsMinimal(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
-	between := 0
+	unclamped := 0
 	for range 300 {
 		loads := randomLoads(random)
-		least := len(loads) + random.Intn(40)
-		most := least + random.Intn(60)
-		wanted := policy.EnginesWanted(6, loads, least, most)
-		if wanted < least || wanted > most {
-			t.Fatalf("%d engines are wanted, of %d to %d", wanted, least, most)
+		lower := len(loads) + random.Intn(40)
+		upper := lower + random.Intn(60)
+		wanted := policy.EnginesWanted(6, loads, lower, upper)
+		if wanted < lower || wanted > upper {
+			t.Fatalf("%d engines are wanted, of %d to %d", wanted, lower, upper)
 		}
-		if wanted > least && wanted < most {
-			between++
-			if one := policy.EnginesWanted(6, loads, least, wanted-1); one != wanted-1 {
-				t.Fatalf("%d engines would do as well as %d", one, wanted)
+		if wanted > lower && wanted < upper {
+			unclamped++
+			if fewer := policy.EnginesWanted(6, loads, lower, wanted-1); fewer != wanted-1 {
+				t.Fatalf("%d engines suffice, but %d are wanted", fewer, wanted)
 			}
 		}
 		heavier := append([]policy.StepLoad(nil), loads...)
 		for i := range heavier {
 			heavier[i].Work *= 2
 		}
-		if more := policy.EnginesWanted(6, heavier, least, most); more < wanted {
-			t.Fatalf("twice the work asks for %d engines, not %d", more, wanted)
+		if doubled := policy.EnginesWanted(6, heavier, lower, upper); doubled < wanted {
+			t.Fatalf("twice the work wants %d engines, fewer than %d", doubled, wanted)
 		}
 	}
-	is.New(t).True(between > 20)
+	is.New(t).True(unclamped > 20)
 }
 
-// TestFirstStepsAskForNoEndlessNumber checks that a step of which only the work is known, by its tokens, asks for as many engines as give its
-// items places within a second, and not for all there are.
-func TestFirstStepsAskForNoEndlessNumber(t *testing.T) {
+// TestUnmeasuredStepsWantBoundedEngines checks that a step of which only the tokens are known wants as many engines as
+// give its items slots within a second, and not all there are.
+func TestUnmeasuredStepsWantBoundedEngines(t *testing.T) {
 	is := is.New(t)
 	first := []policy.StepLoad{{Work: 240 * time.Second}, {Work: 120 * time.Second}}
 	wanted := policy.EnginesWanted(6, first, 2, 3000)
@@ -61,14 +61,14 @@
 	is.Equal(policy.EnginesWanted(6, first, 2, 35), 35)
 }
 
-func TestNothingToDoWantsNoFurtherEngines(t *testing.T) {
+func TestNoLoadWantsMinimum(t *testing.T) {
 	is := is.New(t)
 	is.Equal(policy.EnginesWanted(6, nil, 12, 72), 12)
 	is.Equal(policy.EnginesWanted(6, []policy.StepLoad{{}, {Longest: time.Second}}, 12, 72), 12)
 }
 
-// TestEnginesKept checks that all engines are kept while nothing is known, as many as steps need afterwards, and that the number does not
-// follow each change of that.
+// TestEnginesKept checks that all engines are kept while no load is known, as many as steps need afterwards, and that
+// the number does not follow each small change of that need.
 func TestEnginesKept(t *testing.T) {
 	is := is.New(t)
 	light := []policy.StepLoad{{Work: 20 * time.Second, Longest: 4 * time.Second, Interval: 4 * time.Second}}
@@ -90,24 +90,24 @@
 		return policy.ZoneEngines{Zone: name, Regular: regular, Preemptible: preemptible, Price: price, Refused: refused}
 	}
 	tests := []struct {
-		name         string
-		wanted, most int
-		zones        []policy.ZoneEngines
-		want         []int
+		name              string
+		wanted, zoneLimit int
+		zones             []policy.ZoneEngines
+		want              []int
 	}{
-		{"enough", 20, 24, []policy.ZoneEngines{zone("a", 12, 0, 1, false), zone("b", 12, 0, 1, false)}, []int{0, 0}},
-		{"evenly, the cheapest first", 29, 24, []policy.ZoneEngines{zone("a", 12, 0, 1.2, false), zone("b", 12, 0, 0.8, false)}, []int{2, 3}},
+		{"enough regular engines", 20, 24, []policy.ZoneEngines{zone("a", 12, 0, 1, false), zone("b", 12, 0, 1, false)}, []int{0, 0}},
+		{"even distribution, cheapest zone first", 29, 24, []policy.ZoneEngines{zone("a", 12, 0, 1.2, false), zone("b", 12, 0, 0.8, false)}, []int{2, 3}},
 		{"a full zone", 40, 24, []policy.ZoneEngines{zone("a", 22, 0, 1, false), zone("b", 10, 0, 1, false)}, []int{2, 6}},
-		{"all full", 99, 24, []policy.ZoneEngines{zone("a", 22, 0, 1, false), zone("b", 10, 0, 1, false)}, []int{2, 14}},
-		{"a zone without more", 32, 24, []policy.ZoneEngines{zone("a", 12, 1, 1, true), zone("b", 12, 1, 1, false)}, []int{1, 7}},
-		{"a few needless stay", 30, 24, []policy.ZoneEngines{zone("a", 12, 5, 1, false), zone("b", 12, 5, 1, false)}, []int{5, 5}},
-		{"many needless go", 24, 24, []policy.ZoneEngines{zone("a", 12, 6, 1, false), zone("b", 12, 6, 1, false)}, []int{0, 0}},
-		{"regular ones over the most", 99, 10, []policy.ZoneEngines{zone("a", 12, 0, 1, false)}, []int{0}},
+		{"all zones full", 99, 24, []policy.ZoneEngines{zone("a", 22, 0, 1, false), zone("b", 10, 0, 1, false)}, []int{2, 14}},
+		{"a zone without further engines", 32, 24, []policy.ZoneEngines{zone("a", 12, 1, 1, true), zone("b", 12, 1, 1, false)}, []int{1, 7}},
+		{"a small surplus is kept", 30, 24, []policy.ZoneEngines{zone("a", 12, 5, 1, false), zone("b", 12, 5, 1, false)}, []int{5, 5}},
+		{"a large surplus is released", 24, 24, []policy.ZoneEngines{zone("a", 12, 6, 1, false), zone("b", 12, 6, 1, false)}, []int{0, 0}},
+		{"regular engines above the limit", 99, 10, []policy.ZoneEngines{zone("a", 12, 0, 1, false)}, []int{0}},
 		{"no zone", 5, 10, nil, []int{}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			is.New(t).Equal(policy.ScaleOrders(test.wanted, test.most, test.zones), test.want)
+			is.New(t).Equal(policy.ScaleOrders(test.wanted, test.zoneLimit, test.zones), test.want)
 		})
 	}
 }
--- a/internal/policy/shares.go
+++ b/internal/policy/shares.go
@@ -2,49 +2,49 @@
 
 import "math"
 
-// Demand is what one workload asks of an engine.
+// Demand is one workload's demand for slots of an engine.
 type Demand struct {
 	Workload    string
 	Interactive bool
 	// Share is the guaranteed part of the slots, 0 to 1.
 	Share float64
-	// Running is how many streams hold a slot now.
+	// Running is the number of streams that hold a slot now.
 	Running int
-	// Waiting is how many more would run if they could.
+	// Waiting is the number of streams that wait for a slot.
 	Waiting int
-	// Headroom is how many more are expected to come soon. Slots for them are not lent to others, but nobody has to give
-	// way for them.
+	// Headroom is the number of streams expected soon. Slots for them are not lent to other workloads, but no stream is
+	// preempted for them.
 	Headroom int
-	// Used is how many slots the workload held lately, in the mean. Between interactive workloads, which keep their slots
-	// until their streams end, it tells whose turn it is.
+	// Used is the mean number of slots that the workload held recently. It decides between interactive workloads, which
+	// keep their slots until their streams end.
 	Used float64
 }
 
 func (d Demand) total() int { return d.Running + d.Waiting + d.Headroom }
 
-// present is the demand that is there now.
+// present is the demand that exists now.
 func (d Demand) present() int { return d.Running + d.Waiting }
 
-// Allocation is what one workload may have.
+// Allocation is the allocation of one workload.
 type Allocation struct {
 	Workload string
-	// Guaranteed is how many slots nobody else may keep from the workload.
+	// Guaranteed is the number of slots that no other workload may withhold.
 	Guaranteed int
-	// Target is how many streams may run, borrowed slots included.
+	// Target is the number of streams that may run, borrowed slots included.
 	Target int
-	// Preempt is how many running streams have to give their slots back at once.
+	// Preempt is the number of running streams that must release their slots at once.
 	Preempt int
 }
 
-// Allocate shares the slots of one engine out. Every workload first gets its guaranteed slots, as far as it has demand.
-// What is left is lent: to interactive work that is there, then to such as is expected, then to training, each by
-// weighted max-min; interactive workloads that held slots lately come later, so that a few slots go round. Slots that were lent are
+// Allocate divides the slots of one engine. Every workload first gets its guaranteed slots, as far as it has demand. The
+// rest is lent: to present interactive work, then to expected interactive work, then to training, each by weighted
+// max-min fairness; interactive workloads that held slots recently come later, so that few slots rotate. Lent slots are
 // reclaimed by preemption of training when a workload below its guarantee, or interactive work below its target, finds
 // no free slot; other workloads get theirs as streams end.
 //
-// offset, from 0 to below 1, spreads the rounding of shares: over engines with evenly spread offsets (see ShareOffset)
-// each workload gets its exact share.
-// Allocations come in the order of the demands; the sum of targets never exceeds the slots.
+// offset, from 0 to below 1, distributes the rounding of shares: over engines with evenly spread offsets (see
+// ShareOffset) each workload gets its exact share. Allocations have the order of the demands; the sum of targets never
+// exceeds the slots.
 func Allocate(slots int, offset float64, demands []Demand) []Allocation {
 	allocations := guarantees(slots, offset, demands)
 	left := slots
@@ -59,8 +59,8 @@
 	return allocations
 }
 
-// ShareOffset is the offset of the engine at a rank of its pool. The multiples of the golden ratio stay evenly spread,
-// however many engines there are.
+// ShareOffset returns the offset of the engine at a rank of its pool. The fractional parts of multiples of the golden
+// ratio stay evenly spread, however many engines there are.
 func ShareOffset(rank int) float64 {
 	_, fraction := math.Modf(float64(rank) / math.Phi)
 	return fraction
@@ -82,7 +82,7 @@
 	return trimGuarantees(slots, allocations)
 }
 
-// snap moves a sum that is a whole number of slots beyond the offset, but for rounding errors, onto it.
+// snap removes rounding errors from a sum that is a whole number of slots beyond the offset.
 func snap(cumulated, offset float64) float64 {
 	const tolerance = 1e-9
 	whole := math.Round(cumulated - offset)
@@ -92,7 +92,7 @@
 	return cumulated
 }
 
-// trimGuarantees keeps the sum within the slots when the shares add up to more than the whole.
+// trimGuarantees keeps the sum within the slots when the shares add up to more than 1.
 func trimGuarantees(slots int, allocations []Allocation) []Allocation {
 	left := slots
 	for i := range allocations {
@@ -102,7 +102,7 @@
 	return allocations
 }
 
-// The classes of demand that slots are lent to. Each tells how many slots of a demand belong to it.
+// Classes of demand to which slots are lent. Each function returns the number of slots of a demand in its class.
 func interactivePresent(d Demand) int {
 	if !d.Interactive {
 		return 0
@@ -124,7 +124,8 @@
 	return d.total()
 }
 
-// lend gives the slots left, one by one, to the workload of the class that is worst off for its weight.
+// lend gives the remaining slots, one by one, to the workload of the class with the lowest weighted use, and returns how
+// many are left.
 func lend(left int, demands []Demand, allocations []Allocation, wanted func(Demand) int) int {
 	for left > 0 {
 		chosen := -1
@@ -132,7 +133,7 @@
 			if allocations[i].Target >= wanted(demand) {
 				continue
 			}
-			if chosen < 0 || level(demand, allocations[i]) < level(demands[chosen], allocations[chosen]) {
+			if chosen < 0 || weightedUse(demand, allocations[i]) < weightedUse(demands[chosen], allocations[chosen]) {
 				chosen = i
 			}
 		}
@@ -145,21 +146,21 @@
 	return left
 }
 
-// level is how well off a workload would be with one slot more, for its weight. What interactive work used lately counts
-// for more than the slots at hand: where these are fewer than the workloads, only time can be shared.
-func level(demand Demand, allocation Allocation) float64 {
+// weightedUse returns the use of a workload with one more slot, divided by its weight. Recent use of interactive work
+// counts for more than current slots: where these are fewer than the workloads, only time can be shared.
+func weightedUse(demand Demand, allocation Allocation) float64 {
 	const (
-		leastWeight = 0.01
-		usedWeight  = 8
+		minWeight  = 0.01
+		usedWeight = 8
 	)
 	slots := float64(allocation.Target + 1)
 	if demand.Interactive {
 		slots += usedWeight * demand.Used
 	}
-	return slots / math.Max(demand.Share, leastWeight)
+	return slots / math.Max(demand.Share, minWeight)
 }
 
-// reclaim marks the streams that have to give way.
+// reclaim sets the number of streams that each workload must release.
 func reclaim(slots int, demands []Demand, allocations []Allocation) {
 	free := slots
 	urgent := 0
@@ -181,13 +182,13 @@
 	}
 }
 
-// mostOverTarget finds the training workload furthest above its target; -1 where there is none.
+// mostOverTarget returns the index of the training workload furthest above its target, -1 if there is none.
 func mostOverTarget(demands []Demand, allocations []Allocation) int {
-	victim, most := -1, 0
+	victim, maxOver := -1, 0
 	for i, demand := range demands {
 		over := demand.Running - allocations[i].Preempt - allocations[i].Target
-		if !demand.Interactive && over > most {
-			victim, most = i, over
+		if !demand.Interactive && over > maxOver {
+			victim, maxOver = i, over
 		}
 	}
 	return victim
--- a/internal/policy/shares_test.go
+++ b/internal/policy/shares_test.go
@@ -27,11 +27,11 @@
 		{"a guarantee is reclaimed", []Demand{train("a", .5, 8, 99), train("b", .5, 0, 2)}, []int{6, 2}, []int{2, 0}},
 		{"free slots go first", []Demand{train("a", .5, 6, 99), train("b", .5, 0, 2)}, []int{6, 2}, []int{0, 0}},
 		{"interactive borrows from training", []Demand{train("a", .5, 8, 9), search(.25, 0, 5)}, []int{4, 4}, []int{4, 0}},
-		{"a flood of requests leaves the guarantee", []Demand{train("a", .75, 6, 9), search(.25, 2, 90)}, []int{6, 2}, []int{0, 0}},
+		{"many requests leave the guarantee intact", []Demand{train("a", .75, 6, 9), search(.25, 2, 90)}, []int{6, 2}, []int{0, 0}},
 		{"headroom is not lent", []Demand{train("a", .5, 8, 99), {Workload: "s", Interactive: true, Share: .25, Headroom: 2}}, []int{6, 2}, []int{0, 0}},
-		{"expected requests do not keep others waiting", []Demand{{Workload: "s", Interactive: true, Headroom: 9}, search(0, 0, 8)}, []int{0, 8}, []int{0, 0}},
-		{"it is the turn of who used less", []Demand{{Workload: "s", Interactive: true, Share: .01, Waiting: 9, Used: 8}, search(.01, 0, 9)}, []int{0, 8}, []int{0, 0}},
-		{"no share still borrows", []Demand{train("a", 0, 0, 3), train("b", .5, 0, 2)}, []int{3, 2}, []int{0, 0}},
+		{"expected requests do not delay present ones", []Demand{{Workload: "s", Interactive: true, Headroom: 9}, search(0, 0, 8)}, []int{0, 8}, []int{0, 0}},
+		{"the workload with less recent use goes first", []Demand{{Workload: "s", Interactive: true, Share: .01, Waiting: 9, Used: 8}, search(.01, 0, 9)}, []int{0, 8}, []int{0, 0}},
+		{"a workload without a share still borrows", []Demand{train("a", 0, 0, 3), train("b", .5, 0, 2)}, []int{3, 2}, []int{0, 0}},
 		{"binary fractions lose no slot", []Demand{train("a", .1, 0, 9), train("b", .2, 0, 9), search(.7, 0, 0)}, []int{3, 5, 0}, []int{0, 0, 0}},
 	}
 	for _, c := range cases {
@@ -68,11 +68,11 @@
 			is.Equal(guaranteed, slots) // binary fractions lose no slot
 		}
 		over := Allocate(10, ShareOffset(rank), []Demand{{Share: 0.9, Waiting: 99}, {Share: 0.9, Waiting: 99}})
-		is.Equal(over[0].Guaranteed+over[1].Guaranteed, 10) // nor do shares beyond the whole add slots
+		is.Equal(over[0].Guaranteed+over[1].Guaranteed, 10) // shares that add up to more than 1 add no slots
 	}
 }
 
-func TestAllocateHoldsItsInvariants(t *testing.T) {
+func TestAllocateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(0, 20).Draw(t, "slots")
 		offset := rapid.Float64Range(0, 0.999).Draw(t, "offset")
--- a/internal/policy/waves.go
+++ b/internal/policy/waves.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// WaveSize is how many of a pool's engines may load weights at once: the part above the serving floor, at least one.
+// WaveSize returns how many of a pool's engines may load weights at once: those above the serving floor, at least one.
 func WaveSize(engines int, servingFloor float64) int {
 	const tolerance = 1e-9 // 10 × (1 − 0.9) is one engine, not none
 	size := int(math.Floor(float64(engines)*(1-servingFloor) + tolerance))
 	return max(1, size)
 }
 
-// WaveCount is how many waves it takes until all engines of a pool have loaded.
+// WaveCount returns the number of waves until all engines of a pool have loaded.
 func WaveCount(engines int, servingFloor float64) int {
 	size := WaveSize(engines, servingFloor)
 	return max(1, (engines+size-1)/size)
 }
 
-// WaveOf tells in which wave, from 0, an engine loads a version. Engines are ranked by a hash of engine and version, so
-// that every node computes the same waves from the same list, without any coordinator, and no engine is always last.
+// WaveOf returns the wave, from 0, in which an engine loads a version. Engines are ranked by a hash of engine and
+// version, so that every node computes the same waves from the same list without a coordinator, and no engine is always
+// last.
 func WaveOf(engines []string, engine, model string, version uint64, servingFloor float64) int {
 	own := waveHash(engine, model, version)
 	rank := 0
@@ -37,8 +38,8 @@
 	return hashOf("wave", engine, model, strconv.FormatUint(version, 10))
 }
 
-// WaveDelay is how long after a version became known the wave starts: so that all waves start within the roll time, and
-// one follows the other no later than a load takes.
+// WaveDelay returns how long after a version became known a wave starts. All waves start within the roll time, and each
+// starts no later than one load time after the one before.
 func WaveDelay(wave, waves int, rollTime, loadTime time.Duration) time.Duration {
 	if waves <= 1 {
 		return 0
@@ -47,19 +48,19 @@
 	return interval * time.Duration(wave)
 }
 
-// VersionBounds is a range of weight versions; Max 0 is no upper bound.
+// VersionBounds is a range of weight versions; a Max of 0 means no upper bound.
 type VersionBounds struct {
 	Min uint64
 	Max uint64
 }
 
-// Accept tells whether the version lies within the bounds.
+// Accept reports whether the version lies within the bounds.
 func (b VersionBounds) Accept(version uint64) bool {
 	return version >= b.Min && (b.Max == 0 || version <= b.Max)
 }
 
-// DesiredVersion is the version that an engine should serve of a model: the newest within the bounds of the workloads
-// that use it, 0 where none is. Workloads whose bounds exclude each other are served in their order.
+// DesiredVersion returns the version that an engine should serve of a model: the newest within the bounds of the
+// workloads that use it, 0 where there is none. Where bounds exclude each other, those of earlier workloads apply.
 func DesiredVersion(newest uint64, bounds []VersionBounds) uint64 {
 	common := VersionBounds{}
 	for _, bound := range bounds {
