--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestColdEngineStartRateIsBounded lets three owners of jobs and a replica with requests send as much as possible to a
-// cold engine, the owners one after the other as partitions move. In no second may the engine start more than its rate,
-// with an allowance for a takeover. Once it is warm, all its slots are used.
+// cold engine; two of the owners follow each other, as when a partition moves. In no second may the engine start more
+// than its rate, with an allowance for a takeover. Once it is warm, all its slots are used.
 func TestColdEngineStartRateIsBounded(t *testing.T) {
 	const (
 		rate     = 8.6
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -41,8 +41,8 @@
 		{"no excluded engine", excluding, []fleet.Candidate{{Engine: engine("a", 3)}, {Engine: engine("b", 3), InFlight: 3}}, "b"},
 		{"no loading engine", want, []fleet.Candidate{{Engine: engine("a", 3), Loading: true}}, ""},
 		{"no full engine", want, []fleet.Candidate{{Engine: engine("a", 3), InFlight: 4}}, ""},
-		{"an engine that failed lately is the last choice", want, []fleet.Candidate{{Engine: engine("a", 3), Avoided: true}, {Engine: engine("b", 3), InFlight: 3}}, "b"},
-		{"an engine that failed lately rather than none", want, []fleet.Candidate{{Engine: engine("a", 3), Avoided: true}}, "a"},
+		{"an engine that failed recently is the last choice", want, []fleet.Candidate{{Engine: engine("a", 3), Avoided: true}, {Engine: engine("b", 3), InFlight: 3}}, "b"},
+		{"an engine that failed recently rather than none", want, []fleet.Candidate{{Engine: engine("a", 3), Avoided: true}}, "a"},
 		{"the same zone among equals", want, []fleet.Candidate{{Engine: far}, {Engine: engine("b", 3)}}, "b"},
 		{"another zone rather than a busy engine", want, []fleet.Candidate{{Engine: far}, {Engine: engine("b", 3), InFlight: 1}}, "a"},
 		{
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -13,7 +13,7 @@
 type EngineView struct {
 	// Engine is the engine's ID.
 	Engine string
-	// Pace is the usual time between two events of a stream there, 0 if it was not measured lately.
+	// Pace is the usual time between two events of a stream there, 0 if it was not measured recently.
 	Pace time.Duration
 	// Held is the number of the engine's slots that items of that process hold.
 	Held int
@@ -140,13 +140,13 @@
 	return views
 }
 
-// usesLocalPace reports whether the locally measured pace takes precedence over that of peers: it was measured lately,
+// usesLocalPace reports whether the locally measured pace takes precedence over that of peers: it was measured recently,
 // or they have none. The mutex must be held, and peers refreshed.
 func (d *Directory) usesLocalPace(found *entry, now time.Time) bool {
 	return found.pace.Usual() > 0 && (now.Sub(found.paceMeasuredAt) < paceTTL || d.peers.paces[found.engine.ID] == 0)
 }
 
-// usualPace returns an engine's usual pace as measured here lately, else the median of the peers' views, 0 if neither is
+// usualPace returns an engine's usual pace as measured here recently, else the median of the peers' views, 0 if neither is
 // known. The mutex must be held, and peers refreshed.
 func (d *Directory) usualPace(found *entry, now time.Time) time.Duration {
 	if d.usesLocalPace(found, now) {
--- a/internal/fleet/peers_test.go
+++ b/internal/fleet/peers_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func poolOf(count, slots int) *Directory {
+func newTestDirectory(count, slots int) *Directory {
 	directory := NewDirectory()
 	for i := range count {
 		directory.Upsert(Engine{ID: fmt.Sprintf("e%02d", i), Pool: "p", Slots: slots})
@@ -19,7 +19,7 @@
 	return directory
 }
 
-func item() Want {
+func itemWant() Want {
 	return Want{Pool: "p", Share: 1, Since: time.Now()}
 }
 
@@ -28,17 +28,17 @@
 func TestSlotsHeldByPeersAreTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		directory := poolOf(2, 4)
+		directory := newTestDirectory(2, 4)
 		directory.SetPeerView("other", []EngineView{{Engine: "e00", Held: 4}, {Engine: "e01", Held: 3}}, false)
-		first, found := directory.Acquire(item())
+		first, found := directory.Acquire(itemWant())
 		is.True(found)
 		is.Equal(first.ID, "e01")
-		_, found = directory.Acquire(item())
+		_, found = directory.Acquire(itemWant())
 		is.True(!found) // both are full according to the view
-		is.Equal(directory.Assign([]Want{item()})[0].ID, "")
+		is.Equal(directory.Assign([]Want{itemWant()})[0].ID, "")
 
 		directory.SetPeerView("other", nil, false)
-		_, found = directory.Acquire(item())
+		_, found = directory.Acquire(itemWant())
 		is.True(found) // the view was removed
 	})
 }
@@ -48,13 +48,13 @@
 func TestPeerViewExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		directory := poolOf(1, 4)
+		directory := newTestDirectory(1, 4)
 		directory.SetPeerView("other", []EngineView{{Engine: "e00", Held: 4, Pace: 20 * time.Millisecond}}, false)
 		time.Sleep(heldTTL - time.Millisecond)
-		_, found := directory.Acquire(item())
+		_, found := directory.Acquire(itemWant())
 		is.True(!found)
 		time.Sleep(mergeInterval)
-		_, found = directory.Acquire(item())
+		_, found = directory.Acquire(itemWant())
 		is.True(found)
 		is.Equal(directory.TypicalPace("p"), 20*time.Millisecond)
 		time.Sleep(paceTTL)
@@ -72,11 +72,11 @@
 		before := suspended
 		suspended = func() time.Duration { return slept }
 		defer func() { suspended = before }()
-		directory := poolOf(1, 4)
+		directory := newTestDirectory(1, 4)
 		directory.SetPeerView("other", []EngineView{{Engine: "e00", Held: 4}}, false)
 		slept = heldTTL
 		time.Sleep(mergeInterval)
-		_, found := directory.Acquire(item())
+		_, found := directory.Acquire(itemWant())
 		is.True(found)
 	})
 }
@@ -86,15 +86,15 @@
 func TestWaitingWorkProbesFullEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		directory := poolOf(1, 4)
-		waiting := item()
+		directory := newTestDirectory(1, 4)
+		waiting := itemWant()
 		for time.Since(waiting.Since) < probeAfter {
 			directory.SetPeerView("other", []EngineView{{Engine: "e00", Held: 4}}, false)
 			is.Equal(directory.Assign([]Want{waiting})[0].ID, "")
 			time.Sleep(mergeInterval)
 		}
 		directory.SetPeerView("other", []EngineView{{Engine: "e00", Held: 4}}, false)
-		engines := directory.Assign([]Want{item(), waiting, waiting})
+		engines := directory.Assign([]Want{itemWant(), waiting, waiting})
 		is.Equal([]string{engines[0].ID, engines[1].ID, engines[2].ID}, []string{"", "e00", ""})
 		time.Sleep(probeInterval)
 		is.Equal(directory.Assign([]Want{waiting})[0].ID, "e00")
@@ -105,7 +105,7 @@
 // of a recovered view don't count.
 func TestLocalPaceTakesPrecedence(t *testing.T) {
 	is := is.New(t)
-	directory := poolOf(2, 4)
+	directory := newTestDirectory(2, 4)
 	directory.Paced("e00", 10*time.Millisecond)
 	for i, pace := range []time.Duration{20, 90, 30} {
 		views := []EngineView{{Engine: "e00", Pace: pace * time.Millisecond}, {Engine: "e01", Pace: pace * time.Millisecond, Held: 9}}
@@ -123,7 +123,7 @@
 func TestExpiredLocalPaceYieldsToPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		directory := poolOf(1, 4)
+		directory := newTestDirectory(1, 4)
 		directory.Paced("e00", 90*time.Millisecond)
 		publish := func() {
 			directory.SetPeerView("other", []EngineView{{Engine: "e00", Pace: 30 * time.Millisecond}}, false)
@@ -142,7 +142,7 @@
 // fast engines of eight, it must start there although it has measured nothing.
 func TestNewOwnerStartsOnFastEngines(t *testing.T) {
 	is := is.New(t)
-	directory := poolOf(8, 8)
+	directory := newTestDirectory(8, 8)
 	var views []EngineView
 	for i := range 8 {
 		pace := 40 * time.Millisecond
@@ -152,7 +152,7 @@
 		views = append(views, EngineView{Engine: fmt.Sprintf("e%02d", i), Pace: pace})
 	}
 	directory.SetPeerView("before", views, true)
-	want := item()
+	want := itemWant()
 	want.Events = 300
 	used := make(map[string]int)
 	for _, engine := range directory.Assign(slices.Repeat([]Want{want}, 16)) {
@@ -198,7 +198,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		placers := make([]*placer, owners)
 		for i := range placers {
-			placers[i] = &placer{directory: poolOf(engines, slots), zone: fmt.Sprint(i), held: make(map[string]int), ending: make(map[time.Time][]string)}
+			placers[i] = &placer{directory: newTestDirectory(engines, slots), zone: fmt.Sprint(i), held: make(map[string]int), ending: make(map[time.Time][]string)}
 			for range items {
 				at := time.Now().Add(time.Duration(i) * time.Second)
 				placers[i].waiting = append(placers[i].waiting, struct{ since, next time.Time }{at, at})
@@ -277,18 +277,18 @@
 func TestWorkWaitsForHeldSlotsRatherThanFailingEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		directory := poolOf(2, 4)
+		directory := newTestDirectory(2, 4)
 		directory.Failed("e00", policy.FailureInWork, "broke off")
 		directory.SetPeerView("other", []EngineView{{Engine: "e01", Held: 4}}, false)
-		_, found := directory.Acquire(item())
+		_, found := directory.Acquire(itemWant())
 		is.True(!found)
-		waiting := item()
+		waiting := itemWant()
 		waiting.Since = waiting.Since.Add(-probeAfter)
 		engine, found := directory.Acquire(waiting)
 		is.True(found)
 		is.Equal(engine.ID, "e01") // the view may be wrong
 		directory.Remove("e01")
-		engine, found = directory.Acquire(item())
+		engine, found = directory.Acquire(itemWant())
 		is.True(found)
 		is.Equal(engine.ID, "e00") // there is nothing to wait for
 	})
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -16,7 +16,7 @@
 	InFlight      int
 	// PeerHeld is the number of slots that other processes report to hold there.
 	PeerHeld int
-	// Avoided means that the engine failed lately.
+	// Avoided means that the engine failed recently.
 	Avoided bool
 	// Ejected means that its circuit breaker is open, so that nothing is sent there; Trial means that the breaker lets
 	// one piece of work through.
@@ -95,7 +95,7 @@
 	ignoreEjections bool
 }
 
-// newCandidateStats summarizes the engines that may run a piece of work. The paces of engines that failed lately don't
+// newCandidateStats summarizes the engines that may run a piece of work. The paces of engines that failed recently don't
 // count, and those of engines of other models only where there is no engine of its own model.
 func newCandidateStats(candidates []Candidate, want Want) candidateStats {
 	var stats candidateStats
@@ -189,7 +189,7 @@
 }
 
 // choose returns the index of the best candidate and its cost, false if there is none. Where other processes hold the
-// slots of a working engine, the work waits for it rather than go to one that failed lately, because a failing engine
+// slots of a working engine, the work waits for it rather than go to one that failed recently, because a failing engine
 // always has free slots. Without that wait, 627 requests in a second broke off at one engine.
 func choose(candidates []Candidate, stats candidateStats, want Want, now time.Time) (best int, bestCost float64, ok bool) {
 	best = -1
