--- a/internal/policy/deal_test.go
+++ b/internal/policy/deal_test.go
@@ -131,7 +131,7 @@
 	is.True(!policy.WorthDealing([]int{3, 3, 2}, []int{2, 3, 3}, 6, make([]policy.StepLoad, 3), time.Second))
 }
 
-func BenchmarkDeal(b *testing.B) {
+func BenchmarkAssignEngines(b *testing.B) {
 	for _, engines := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			loads := make([]policy.StepLoad, 8)
--- a/internal/policy/pace.go
+++ b/internal/policy/pace.go
@@ -99,13 +99,13 @@
 // that waited for their reader arrive at once. A slowdown counts as over once no gap was added for as long as it had
 // lasted.
 func (p *Pace) Outlook(now time.Time) Outlook {
-	outlook := Steady(p.Usual())
+	forecast := Steady(p.Usual())
 	if p.slowedAt.IsZero() {
-		return outlook
+		return forecast
 	}
 	sinceLastGap := now.Sub(p.addedAt)
 	if slowed := p.addedAt.Sub(p.slowedAt) - sinceLastGap; slowed > 0 {
-		outlook.Now, outlook.Slowed = max(p.Value(), outlook.Usual), slowed
+		forecast.Now, forecast.Slowed = max(p.Value(), forecast.Usual), slowed
 	}
-	return outlook
+	return forecast
 }
