--- a/internal/enginelist/enginelist_test.go
+++ b/internal/enginelist/enginelist_test.go
@@ -103,9 +103,9 @@
 		first.keeper.Gained(t.Context(), partition, 1)
 		first.own(0, some(20)...)
 		second.own(0, some(20)...)
-		is.True(!reader.directory.Known())
+		is.True(!reader.directory.Synced())
 		time.Sleep(300 * time.Millisecond)
-		is.True(reader.directory.Known())
+		is.True(reader.directory.Synced())
 		is.Equal(len(reader.directory.Pool(pool)), 20)
 		is.Equal(second.keeper.Written(), int64(0))
 
@@ -267,7 +267,7 @@
 		for i := range 20 {
 			reader := startProcess(t, store, fmt.Sprint("reader-", i), false)
 			time.Sleep(time.Second)
-			is.True(reader.directory.Known())
+			is.True(reader.directory.Synced())
 			engines := len(reader.directory.Pool(pool))
 			is.True(engines >= 500 && engines < 1000)
 			reader.stop()
--- a/internal/enginelist/list.go
+++ b/internal/enginelist/list.go
@@ -240,5 +240,5 @@
 			return
 		}
 	}
-	l.directory.SetKnown()
+	l.directory.SetSynced()
 }
--- a/internal/engineview/engineview_test.go
+++ b/internal/engineview/engineview_test.go
@@ -146,7 +146,7 @@
 		b.owning.Store(false)
 		time.Sleep(2 * time.Second)
 		before := calls.Load()
-		a.directory.Paced("e", 20*time.Millisecond)
+		a.directory.RecordGap("e", 20*time.Millisecond)
 		a.held.Store(4)
 		time.Sleep(5 * time.Second)
 		is.Equal(calls.Load(), before) // a process that owns nothing reads nothing
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -25,7 +25,7 @@
 			d := NewDirectory()
 			d.SetColdRate("p", rate)
 			d.Upsert(Engine{ID: "cold", Pool: "p", Slots: 8, Versions: map[string]int64{"a": 1, "b": 1}, ColdUntil: start.Add(coldFor)})
-			d.SetDealt("p", map[string]string{"cold": "a"})
+			d.SetAssignedModels("p", map[string]string{"cold": "a"})
 			return d
 		}
 		firstOwner, secondOwner, otherOwner, replica := process(), process(), process(), process()
--- a/internal/fleet/ejection.go
+++ b/internal/fleet/ejection.go
@@ -9,12 +9,12 @@
 // Ejection is a state change of an engine's circuit breaker: the engine was ejected or readmitted.
 type Ejection struct {
 	EngineID string
-	// TakenBack means that the engine takes work again; otherwise it was ejected.
-	TakenBack bool
-	// Cause is the reason why the last piece of work failed; Lasts is how long nothing is sent to the engine. Both are
+	// Readmitted means that the engine takes work again; otherwise it was ejected.
+	Readmitted bool
+	// Cause is the reason why the last piece of work failed; OpenFor is how long nothing is sent to the engine. Both are
 	// empty for a readmission.
-	Cause string
-	Lasts time.Duration
+	Cause   string
+	OpenFor time.Duration
 	// Failures is the number of failures since the engine's last complete response.
 	Failures int
 }
@@ -82,7 +82,7 @@
 	}
 	// The trial decides when the engine gets work again.
 	found.avoidUntil = time.Time{}
-	d.pendingEjections = append(d.pendingEjections, Ejection{EngineID: id, Cause: cause, Lasts: lasts, Failures: found.failures})
+	d.pendingEjections = append(d.pendingEjections, Ejection{EngineID: id, Cause: cause, OpenFor: lasts, Failures: found.failures})
 }
 
 // Answered records that an engine began to respond to work that was sent at sentAt. An ejected engine is readmitted if
@@ -111,13 +111,13 @@
 	found.latency = smooth(found.latency, latency)
 }
 
-// TurnedAway records that an engine rejected a piece of work. It may accept other work.
-func (d *Directory) TurnedAway(id string) {
+// Rejected records that an engine rejected a piece of work. It may accept other work.
+func (d *Directory) Rejected(id string) {
 	d.Answered(id, time.Now())
 }
 
 // readmit records that an engine takes work again. The mutex must be held.
 func (d *Directory) readmit(found *entry) {
-	d.pendingEjections = append(d.pendingEjections, Ejection{EngineID: found.engine.ID, TakenBack: true, Failures: found.failures})
+	d.pendingEjections = append(d.pendingEjections, Ejection{EngineID: found.engine.ID, Readmitted: true, Failures: found.failures})
 	d.changed.Notify()
 }
--- a/internal/fleet/ejection_test.go
+++ b/internal/fleet/ejection_test.go
@@ -123,7 +123,7 @@
 		is.Equal(placed(m, n), 1) // its second slot
 		is.Equal(directory.Ejected(), 0)
 		is.Equal(len(events), 1)
-		is.True(events[0].TakenBack)
+		is.True(events[0].Readmitted)
 	})
 }
 
@@ -266,8 +266,8 @@
 		is := is.New(t)
 		directory := ejected(2)
 		for range 40 {
-			directory.Paced("0", 20*time.Millisecond)
-			directory.Paced("1", 80*time.Millisecond)
+			directory.RecordGap("0", 20*time.Millisecond)
+			directory.RecordGap("1", 80*time.Millisecond)
 		}
 		want := fleet.Want{Pool: "p", Share: 1, Events: 50}
 		directory.Failed("0", policy.FailureToConnect, "refused")
@@ -277,7 +277,7 @@
 		_, better = directory.AcquireBetter("1", want)
 		is.True(!better)
 		directory.Acquire(fleet.Want{Pool: "p", Exclude: []string{"1"}})
-		directory.TurnedAway("0")
+		directory.Rejected("0")
 		_, better = directory.AcquireBetter("1", want)
 		is.True(better)
 	})
@@ -290,9 +290,9 @@
 		is := is.New(t)
 		directory := ejected(3)
 		for range 40 {
-			directory.Paced("0", 20*time.Millisecond)
-			directory.Paced("1", 80*time.Millisecond)
-			directory.Paced("2", 20*time.Millisecond)
+			directory.RecordGap("0", 20*time.Millisecond)
+			directory.RecordGap("1", 80*time.Millisecond)
+			directory.RecordGap("2", 20*time.Millisecond)
 		}
 		_, found := directory.Acquire(fleet.Want{Pool: "p", Exclude: []string{"0", "1"}})
 		is.True(found)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -35,8 +35,8 @@
 	ColdUntil time.Time
 }
 
-// Serves returns the version of a model that the engine serves, 0 if none.
-func (e Engine) Serves(model string) int64 {
+// ServedVersion returns the version of a model that the engine serves, 0 if none.
+func (e Engine) ServedVersion(model string) int64 {
 	return e.Versions[model]
 }
 
@@ -198,8 +198,8 @@
 	}
 }
 
-// SetServes records that an engine serves a version of a model.
-func (d *Directory) SetServes(id, model string, version int64) {
+// SetServedVersion records that an engine serves a version of a model.
+func (d *Directory) SetServedVersion(id, model string, version int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	found, ok := d.engines[id]
@@ -234,9 +234,9 @@
 	d.engineChanged(found)
 }
 
-// SetDealt sets the model that each engine of a pool is assigned to. Work of that model prefers the engine. The map must
+// SetAssignedModels sets the model that each engine of a pool is assigned to. Work of that model prefers the engine. The map must
 // not be changed afterwards.
-func (d *Directory) SetDealt(pool string, models map[string]string) {
+func (d *Directory) SetAssignedModels(pool string, models map[string]string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.assigned[pool] = models
@@ -246,9 +246,9 @@
 	d.changed.Notify()
 }
 
-// Dealt returns the model that each engine of a pool is assigned to, nil if no assignment was read. The map must not be
+// AssignedModels returns the model that each engine of a pool is assigned to, nil if no assignment was read. The map must not be
 // changed.
-func (d *Directory) Dealt(pool string) map[string]string {
+func (d *Directory) AssignedModels(pool string) map[string]string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.assigned[pool]
@@ -272,15 +272,15 @@
 	return ok && time.Now().Before(found.loadingUntil[model])
 }
 
-// SetKnown records that the list of engines was read completely.
-func (d *Directory) SetKnown() {
+// SetSynced records that the list of engines was read completely.
+func (d *Directory) SetSynced() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.synced = true
 }
 
-// Known reports whether the list of engines was read completely at least once.
-func (d *Directory) Known() bool {
+// Synced reports whether the list of engines was read completely at least once.
+func (d *Directory) Synced() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.synced
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -47,8 +47,8 @@
 		{"another zone rather than a busy engine", want, []fleet.Candidate{{Engine: far}, {Engine: engine("b", 3), InFlight: 1}}, "a"},
 		{
 			"a slow engine is the last choice", want, []fleet.Candidate{
-				{Engine: engine("a", 3), Forecast: policy.Steady(100 * time.Millisecond)}, {Engine: engine("b", 3), Forecast: policy.Steady(30 * time.Millisecond), InFlight: 3},
-				{Engine: engine("c", 3), Forecast: policy.Steady(30 * time.Millisecond), InFlight: 4},
+				{Engine: engine("a", 3), Forecast: policy.ConstantPace(100 * time.Millisecond)}, {Engine: engine("b", 3), Forecast: policy.ConstantPace(30 * time.Millisecond), InFlight: 3},
+				{Engine: engine("c", 3), Forecast: policy.ConstantPace(30 * time.Millisecond), InFlight: 4},
 			}, "b",
 		},
 	}
@@ -85,10 +85,10 @@
 	is := is.New(t)
 	directory := fleet.NewDirectory()
 	directory.Upsert(engine("a", 1))
-	directory.SetServes("a", "m", 3)
+	directory.SetServedVersion("a", "m", 3)
 	directory.Upsert(engine("a", 1))
 	known, _ := directory.Engine("a")
-	is.Equal(known.Serves("m"), int64(3))
+	is.Equal(known.ServedVersion("m"), int64(3))
 
 	leaving := engine("a", 1)
 	leaving.Draining = true
@@ -126,7 +126,7 @@
 	directory := fleet.NewDirectory()
 	for _, id := range []string{"a", "b", "c"} {
 		directory.Upsert(fleet.Engine{ID: id, Pool: "p", Slots: 2})
-		directory.Paced(id, 30*time.Millisecond)
+		directory.RecordGap(id, 30*time.Millisecond)
 	}
 	long, short := fleet.Want{Pool: "p", Share: 1, Events: 50}, fleet.Want{Pool: "p", Share: 1, Events: 2}
 	better := func(want fleet.Want) bool {
@@ -135,7 +135,7 @@
 	}
 	is.True(!better(long))
 	for range 30 {
-		directory.Paced("a", 120*time.Millisecond)
+		directory.RecordGap("a", 120*time.Millisecond)
 	}
 	is.True(!better(short))
 	for range 4 {
@@ -153,7 +153,7 @@
 		directory := fleet.NewDirectory()
 		for id, pace := range map[string]time.Duration{"fast": 40 * time.Millisecond, "slow": 50 * time.Millisecond} {
 			directory.Upsert(fleet.Engine{ID: id, Pool: "p", Slots: 2})
-			directory.Paced(id, pace)
+			directory.RecordGap(id, pace)
 		}
 		since := time.Now()
 		want := func(events float64) fleet.Want {
@@ -182,10 +182,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := fleet.NewDirectory()
-		directory.SetDealt("p", map[string]string{"own": "m", "other": "n"})
+		directory.SetAssignedModels("p", map[string]string{"own": "m", "other": "n"})
 		for _, id := range []string{"own", "other"} {
 			directory.Upsert(fleet.Engine{ID: id, Pool: "p", Slots: 6, Versions: map[string]int64{"m": 1, "n": 1}})
-			directory.Paced(id, 30*time.Millisecond)
+			directory.RecordGap(id, 30*time.Millisecond)
 		}
 		want := fleet.Want{Pool: "p", Model: "m", Share: 1, Since: time.Now()}
 		placed := func() map[string]int {
@@ -201,7 +201,7 @@
 
 		// A slow run is not moved to an engine of another model.
 		for range 40 {
-			directory.Paced("own", time.Second)
+			directory.RecordGap("own", time.Second)
 		}
 		is.True(!directory.Exists(fleet.Want{Pool: "q"}))
 		moving := want
@@ -212,7 +212,7 @@
 		// Without an engine of its own model that may run it, work goes to any engine at once.
 		want.MinVersion = 2
 		want.Since = time.Now()
-		directory.SetServes("other", "m", 2)
+		directory.SetServedVersion("other", "m", 2)
 		is.Equal(placed(), map[string]int{"other": 3, "": 17})
 
 		// The same applies where engines are not assigned.
@@ -234,7 +234,7 @@
 		first := engine("a", 3)
 		first.StartedAt = time.UnixMilli(1000)
 		directory.Upsert(first)
-		directory.SetServes("a", "m", 5)
+		directory.SetServedVersion("a", "m", 5)
 		directory.SetLoading("a", "m", time.Now().Add(time.Minute))
 		leaving := first
 		leaving.Draining = true
@@ -254,7 +254,7 @@
 		directory.Upsert(second)
 		directory.Upsert(leaving)
 		known, _ := directory.Engine("a")
-		is.Equal(known.Serves("m"), int64(3))
+		is.Equal(known.ServedVersion("m"), int64(3))
 		is.True(!known.Draining)
 		// It is neither loading nor avoided any more, and the other engine is half full.
 		picked, found := directory.Acquire(want)
@@ -306,7 +306,7 @@
 						pace = fast
 					}
 					directory.Upsert(fleet.Engine{ID: id, Pool: "p", Slots: slots})
-					directory.Paced(id, pace)
+					directory.RecordGap(id, pace)
 				}
 				want := fleet.Want{Pool: "p", Share: 1, Since: time.Now(), Slack: slack, Events: long}
 				wants := slices.Repeat([]fleet.Want{want}, test.long)
@@ -333,14 +333,14 @@
 	directory := fleet.NewDirectory()
 	for id, pace := range map[string]time.Duration{"fast": 27 * time.Millisecond, "slow": 60 * time.Millisecond} {
 		directory.Upsert(fleet.Engine{ID: id, Pool: "p", Slots: 2})
-		directory.Paced(id, pace)
+		directory.RecordGap(id, pace)
 	}
-	want := fleet.Want{Pool: "p", Share: 1, Events: 40, Slack: policy.Slack(140, directory.QuickestPace("p", ""))}
+	want := fleet.Want{Pool: "p", Share: 1, Events: 40, Slack: policy.Slack(140, directory.FastestPace("p", ""))}
 	_, better := directory.AcquireBetter("slow", want)
 	is.True(!better)
-	is.True(directory.Suitable(want)["slow"])
-	want.Slack = policy.Slack(45, directory.QuickestPace("p", ""))
-	is.True(!directory.Suitable(want)["slow"])
+	is.True(directory.SuitableEngines(want)["slow"])
+	want.Slack = policy.Slack(45, directory.FastestPace("p", ""))
+	is.True(!directory.SuitableEngines(want)["slow"])
 	_, better = directory.AcquireBetter("slow", want)
 	is.True(better)
 }
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -31,9 +31,9 @@
 	return picked.Engine, true
 }
 
-// HasRoom reports whether a piece of work would get an engine, given the slots known to be held by other processes.
+// HasFreeSlot reports whether a piece of work would get an engine, given the slots known to be held by other processes.
 // Nothing is acquired.
-func (d *Directory) HasRoom(want Want) bool {
+func (d *Directory) HasFreeSlot(want Want) bool {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -139,13 +139,13 @@
 // mayImprove returns the pace forecast of the engine at which work runs, and whether any engine of the pool is fast
 // enough for a move to pay, regardless of what may run there. It avoids checking each engine: a pool may have thousands,
 // and items poll four times a second. The mutex must be held.
-func (d *Directory) mayImprove(id string, want Want, now time.Time) (forecast policy.Outlook, ok bool) {
+func (d *Directory) mayImprove(id string, want Want, now time.Time) (forecast policy.Forecast, ok bool) {
 	found, ok := d.engines[id]
 	if !ok {
-		return policy.Outlook{}, false
+		return policy.Forecast{}, false
 	}
-	forecast = found.pace.Outlook(now)
-	fastest := policy.Steady(d.paceOf(want.Pool, "", now).fastest)
+	forecast = found.pace.Forecast(now)
+	fastest := policy.ConstantPace(d.paceOf(want.Pool, "", now).fastest)
 	return forecast, policy.WorthMoving(want.Events, forecast, fastest, want.Slack)
 }
 
@@ -178,14 +178,14 @@
 	return picked.Engine, true
 }
 
-// Suitable returns the engines, full or not, at which a piece of work would end about as early as at the fastest one:
+// SuitableEngines returns the engines, full or not, at which a piece of work would end about as early as at the fastest one:
 // moving it to the fastest would not pay.
-func (d *Directory) Suitable(want Want) map[string]bool {
+func (d *Directory) SuitableEngines(want Want) map[string]bool {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	candidates := d.candidates(want, now)
-	fastest := policy.Steady(newCandidateStats(candidates, want).fastest)
+	fastest := policy.ConstantPace(newCandidateStats(candidates, want).fastest)
 	suitable := make(map[string]bool)
 	for _, candidate := range candidates {
 		if mayRun(candidate, want) && !candidate.Avoided && !candidate.Ejected &&
@@ -196,8 +196,8 @@
 	return suitable
 }
 
-// Better returns the engines, full or not, at which running work would end so much earlier that moving it pays.
-func (d *Directory) Better(id string, want Want) map[string]bool {
+// BetterEngines returns the engines, full or not, at which running work would end so much earlier that moving it pays.
+func (d *Directory) BetterEngines(id string, want Want) map[string]bool {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -227,9 +227,9 @@
 	return d.paceOf(pool, "", time.Now()).typical
 }
 
-// QuickestPace returns the shortest usual pace of the engines of a pool that serve a model, restricted to those assigned
+// FastestPace returns the shortest usual pace of the engines of a pool that serve a model, restricted to those assigned
 // to the model if there are any; 0 if none is known.
-func (d *Directory) QuickestPace(pool, model string) time.Duration {
+func (d *Directory) FastestPace(pool, model string) time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.paceOf(pool, model, time.Now()).fastest
@@ -295,8 +295,8 @@
 	}
 }
 
-// Paced records the time between two events of a stream.
-func (d *Directory) Paced(id string, gap time.Duration) {
+// RecordGap records the time between two events of a stream.
+func (d *Directory) RecordGap(id string, gap time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if found, ok := d.engines[id]; ok {
--- a/internal/fleet/loading_test.go
+++ b/internal/fleet/loading_test.go
@@ -32,7 +32,7 @@
 		}
 		is.Equal(sent, 0)
 		// The report that it serves the version ends the load, whatever its expected duration was.
-		directory.SetServes("e", "m", 2)
+		directory.SetServedVersion("e", "m", 2)
 		_, found := directory.Acquire(want)
 		is.True(found)
 	})
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -157,11 +157,11 @@
 
 // forecast returns the pace forecast of an engine, from the locally measured pace or else from the median of the peers'
 // views. The mutex must be held, and peers refreshed.
-func (d *Directory) forecast(found *entry, now time.Time) policy.Outlook {
+func (d *Directory) forecast(found *entry, now time.Time) policy.Forecast {
 	if d.usesLocalPace(found, now) {
-		return found.pace.Outlook(now)
+		return found.pace.Forecast(now)
 	}
-	return policy.Steady(d.peers.paces[found.engine.ID])
+	return policy.ConstantPace(d.peers.paces[found.engine.ID])
 }
 
 // UsualPaces returns the known usual paces of a pool's engines, measured here or by peers, by engine ID.
--- a/internal/fleet/peers_test.go
+++ b/internal/fleet/peers_test.go
@@ -106,7 +106,7 @@
 func TestLocalPaceTakesPrecedence(t *testing.T) {
 	is := is.New(t)
 	directory := newTestDirectory(2, 4)
-	directory.Paced("e00", 10*time.Millisecond)
+	directory.RecordGap("e00", 10*time.Millisecond)
 	for i, pace := range []time.Duration{20, 90, 30} {
 		views := []EngineView{{Engine: "e00", Pace: pace * time.Millisecond}, {Engine: "e01", Pace: pace * time.Millisecond, Held: 9}}
 		directory.SetPeerView(fmt.Sprint("other", i), views, true)
@@ -124,7 +124,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		directory := newTestDirectory(1, 4)
-		directory.Paced("e00", 90*time.Millisecond)
+		directory.RecordGap("e00", 90*time.Millisecond)
 		publish := func() {
 			directory.SetPeerView("other", []EngineView{{Engine: "e00", Pace: 30 * time.Millisecond}}, false)
 		}
@@ -134,7 +134,7 @@
 		is.Equal(directory.UsualPaces("p")["e00"], 90*time.Millisecond) // no peer reports a pace
 		publish()
 		is.Equal(directory.UsualPaces("p")["e00"], 30*time.Millisecond)
-		is.Equal(directory.QuickestPace("p", ""), 30*time.Millisecond)
+		is.Equal(directory.FastestPace("p", ""), 30*time.Millisecond)
 	})
 }
 
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -27,7 +27,7 @@
 	// ColdLimited means that it is cold and currently takes none of the work.
 	ColdLimited bool
 	// Forecast is its expected pace; Latency is the smoothed latency of complete responses.
-	Forecast policy.Outlook
+	Forecast policy.Forecast
 	Latency  time.Duration
 }
 
@@ -204,7 +204,7 @@
 			continue
 		}
 		delay := policy.Delay(want.Events, candidate.Forecast, stats.fastest, want.Slack)
-		if policy.Declines(now.Sub(want.Since), delay) {
+		if policy.KeepsWaiting(now.Sub(want.Since), delay) {
 			continue
 		}
 		total := cost(candidate, want, stats.typical) + delay.Seconds()
@@ -232,7 +232,7 @@
 	if want.Model == "" {
 		return true
 	}
-	version := engine.Serves(want.Model)
+	version := engine.ServedVersion(want.Model)
 	if want.ExactVersion != 0 {
 		return version == want.ExactVersion
 	}
@@ -271,7 +271,7 @@
 	if candidate.Avoided || candidate.Ejected {
 		total += avoidedCost
 	}
-	if want.Events == 0 && typicalPace > 0 && float64(candidate.Forecast.Now) > slowFactor*float64(typicalPace) {
+	if want.Events == 0 && typicalPace > 0 && float64(candidate.Forecast.Current) > slowFactor*float64(typicalPace) {
 		total += slowCost
 	}
 	if engine.Zone != want.Zone {
--- a/internal/fleet/pool_test.go
+++ b/internal/fleet/pool_test.go
@@ -23,7 +23,7 @@
 			assigned[id] = []string{"a", "b"}[i%2]
 		}
 	}
-	d.SetDealt("p", assigned)
+	d.SetAssignedModels("p", assigned)
 	considered := func(want Want) []string {
 		var ids []string
 		for _, candidate := range d.candidates(want, time.Now()) {
@@ -52,7 +52,7 @@
 	}
 	is.True(kept > len(before)*9/10)
 
-	d.SetDealt("p", map[string]string{"engine-5": "a"})
+	d.SetAssignedModels("p", map[string]string{"engine-5": "a"})
 	is.True(slices.Contains(considered(work), "engine-5"))
 	is.True(len(considered(work)) <= maxConsidered+maxForeign)
 }
@@ -67,10 +67,10 @@
 	}
 	first := d.Pool("p")
 	is.Equal(len(first), 3)
-	d.SetServes("b", "m", 2)
+	d.SetServedVersion("b", "m", 2)
 	second := d.Pool("p")
-	is.Equal(first[1].Serves("m"), int64(1))
-	is.Equal(second[1].Serves("m"), int64(2))
+	is.Equal(first[1].ServedVersion("m"), int64(1))
+	is.Equal(second[1].ServedVersion("m"), int64(2))
 	d.Upsert(Engine{ID: "a", Pool: "q", Slots: 1})
 	is.Equal(len(d.Pool("p")), 2)
 	is.Equal(len(d.Pool("q")), 1)
--- a/internal/fleet/regions_test.go
+++ b/internal/fleet/regions_test.go
@@ -29,7 +29,7 @@
 					assigned[id] = "tide"
 				}
 			}
-			directory.SetDealt("pool", assigned)
+			directory.SetAssignedModels("pool", assigned)
 
 			bound := fleet.Want{Pool: "pool", Regions: []string{"fortaleza"}, Share: 1}
 			ofModel := bound
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -155,7 +155,7 @@
 		directory.Failed(result.engine.ID, policy.FailureInWork, e.cause)
 		e.mayHaveRun = true
 	case result.reply.NotRun:
-		directory.TurnedAway(result.engine.ID)
+		directory.Rejected(result.engine.ID)
 		e.turnedAway()
 	case result.reply.Stamp == "" && result.reply.Status < http.StatusMultipleChoices:
 		// A success without the engine's signature is none.
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -64,7 +64,7 @@
 
 func (r Request) strikes() int {
 	if r.Strikes == 0 {
-		return policy.RequestStrikes
+		return policy.RequestCrashLimit
 	}
 	return r.Strikes
 }
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -161,7 +161,7 @@
 	if s.paced.IsZero() {
 		s.forwarder.config.Directory.Answered(s.engine, s.sentAt)
 	} else {
-		s.forwarder.config.Directory.Paced(s.engine, now.Sub(s.paced))
+		s.forwarder.config.Directory.RecordGap(s.engine, now.Sub(s.paced))
 	}
 	s.paced = now
 	s.last = event.ID
@@ -185,7 +185,7 @@
 		if result.Err != nil {
 			directory.Failed(engine.ID, policy.FailureToConnect, result.Cause())
 		} else {
-			directory.TurnedAway(engine.ID)
+			directory.Rejected(engine.ID)
 		}
 	case eventrun.EndedByCaller:
 		s.mayHaveRun = true
--- a/internal/jobrun/decline_test.go
+++ b/internal/jobrun/decline_test.go
@@ -89,7 +89,7 @@
 		w.submit(one)
 		time.Sleep(10 * pace)
 		w.load("model1", 3)
-		owner.directory.SetServes("model1", modelName, 3)
+		owner.directory.SetServedVersion("model1", modelName, 3)
 		w.engines.Behave("model1", memoryengine.Behaviour{Pace: pace})
 		w.engines.Behave("model0", memoryengine.Behaviour{Down: true})
 		w.engines.Behave("model0", memoryengine.Behaviour{Full: true})
@@ -115,7 +115,7 @@
 		w.submit(one)
 		time.Sleep(10 * pace)
 		w.load("model1", 3)
-		owner.directory.SetServes("model1", modelName, 3)
+		owner.directory.SetServedVersion("model1", modelName, 3)
 		w.engines.Behave("model0", memoryengine.Behaviour{Down: true})
 		w.engines.Behave("model0", memoryengine.Behaviour{Full: true})
 		for range 40 {
--- a/internal/jobrun/ejection_test.go
+++ b/internal/jobrun/ejection_test.go
@@ -23,7 +23,7 @@
 		owner := w.node("owner")
 		ejections, back := 0, 0
 		owner.directory.OnEjection(func(ejection fleet.Ejection) {
-			if ejection.TakenBack {
+			if ejection.Readmitted {
 				back++
 			} else {
 				ejections++
--- a/internal/jobrun/execution.go
+++ b/internal/jobrun/execution.go
@@ -242,7 +242,7 @@
 func (e *execution) runAt(ctx context.Context, cancel context.CancelFunc, place *Place, route catalog.Route) eventrun.Result {
 	engine := place.Engine
 	e.runner.config.Logger.Info("item placed", "job", e.view.Spec.ID, "item", e.item.ID, "group", e.item.Group, "engine", engine.ID,
-		"version", engine.Serves(e.view.Spec.Model), "min_version", e.view.Spec.MinVersion, "resume_after", len(e.events),
+		"version", engine.ServedVersion(e.view.Spec.Model), "min_version", e.view.Spec.MinVersion, "resume_after", len(e.events),
 		"epoch", e.runner.writer.Epoch(), "waited", time.Since(e.waitingSince).Round(time.Millisecond),
 		"left", math.Round(e.left()), "critical", math.Round(e.critical.Value()))
 	waitingSince := e.waitingSince
@@ -263,7 +263,7 @@
 // withheld tells whether the item is to go to no engine now, since engines have ended under it. It is asked once a place is there, so
 // that a trial that is given is made.
 func (e *execution) withheld(ctx context.Context) bool {
-	standing, _ := e.runner.config.Quarantine.Admit(ctx, e.call(), policy.ItemStrikes)
+	standing, _ := e.runner.config.Quarantine.Admit(ctx, e.call(), policy.ItemCrashLimit)
 	return standing == quarantine.Withheld
 }
 
@@ -320,7 +320,7 @@
 	e.current = version
 	model := e.view.Spec.Model
 	if model != "" {
-		e.runner.config.Directory.SetServes(e.engine.ID, model, version)
+		e.runner.config.Directory.SetServedVersion(e.engine.ID, model, version)
 	}
 	if version < e.view.Spec.MinVersion {
 		return errVersion
@@ -362,7 +362,7 @@
 	if e.lastEvent.IsZero() {
 		e.runner.config.Directory.Answered(e.engine.ID, e.sentAt)
 	} else {
-		e.runner.config.Directory.Paced(e.engine.ID, now.Sub(e.lastEvent))
+		e.runner.config.Directory.RecordGap(e.engine.ID, now.Sub(e.lastEvent))
 	}
 	e.lastEvent = now
 }
--- a/internal/jobrun/jobrun_test.go
+++ b/internal/jobrun/jobrun_test.go
@@ -139,7 +139,7 @@
 		is := is.New(t)
 		w := newWorld(t, 2)
 		owner := w.node("owner")
-		owner.directory.SetServes("model1", modelName, 3)
+		owner.directory.SetServedVersion("model1", modelName, 3)
 		w.load("model1", 3)
 		time.Sleep(time.Second)
 		owner.own(1)
@@ -164,8 +164,8 @@
 		w := newWorld(t, 2)
 		owner := w.node("owner")
 		// Both are believed to serve version 3; one does not.
-		owner.directory.SetServes("model0", modelName, 3)
-		owner.directory.SetServes("model1", modelName, 3)
+		owner.directory.SetServedVersion("model0", modelName, 3)
+		owner.directory.SetServedVersion("model1", modelName, 3)
 		w.load("model1", 3)
 		time.Sleep(time.Second)
 		owner.own(1)
@@ -197,7 +197,7 @@
 						time.Sleep(time.Duration(random.Intn(400)) * time.Millisecond)
 						mode := []engineapi.LoadMode{engineapi.LoadCuts, engineapi.LoadKeeps}[random.Intn(2)]
 						w.loadBy(engine.ID, version, mode)
-						owner.directory.SetServes(engine.ID, modelName, version)
+						owner.directory.SetServedVersion(engine.ID, modelName, version)
 						owner.directory.SetLoading(engine.ID, modelName, time.Now().Add(500*time.Millisecond))
 					}
 				}
@@ -321,7 +321,7 @@
 					again.MinVersion = 3
 					for _, engine := range w.models {
 						w.load(engine.ID, 3)
-						owner.directory.SetServes(engine.ID, modelName, 3)
+						owner.directory.SetServedVersion(engine.ID, modelName, 3)
 					}
 				}
 				before := len(w.engines.Runs())
@@ -350,8 +350,8 @@
 		w.end("one")
 		for _, engine := range w.models {
 			w.load(engine.ID, 3)
-			first.directory.SetServes(engine.ID, modelName, 3)
-			next.directory.SetServes(engine.ID, modelName, 3)
+			first.directory.SetServedVersion(engine.ID, modelName, 3)
+			next.directory.SetServedVersion(engine.ID, modelName, 3)
 		}
 		time.Sleep(time.Second)
 		again := job.Spec{ID: "two", Route: "items", Host: "h", Model: modelName, MinVersion: 3, Items: one.Items}
--- a/internal/jobrun/judge.go
+++ b/internal/jobrun/judge.go
@@ -38,7 +38,7 @@
 		if !directory.Loading(e.engine.ID, e.view.Spec.Model) {
 			directory.Failed(e.engine.ID, policy.FailureInWork, result.Cause())
 		}
-		e.runner.config.Quarantine.Broke(ctx, e.call(), e.engine, result.Err, policy.ItemStrikes)
+		e.runner.config.Quarantine.Broke(ctx, e.call(), e.engine, result.Err, policy.ItemCrashLimit)
 		if result.Ending == eventrun.EndedSilent {
 			e.runner.config.Quarantine.Silent(e.call(), e.engine, gapLeast)
 		}
@@ -56,7 +56,7 @@
 		directory.Failed(e.engine.ID, policy.FailureToConnect, result.Cause())
 		return
 	}
-	directory.TurnedAway(e.engine.ID)
+	directory.Rejected(e.engine.ID)
 	directory.SetLoading(e.engine.ID, e.view.Spec.Model, time.Now().Add(loadingPause))
 }
 
--- a/internal/jobrun/place.go
+++ b/internal/jobrun/place.go
@@ -77,7 +77,7 @@
 		Pool: e.runner.config.Splitter.Pick(route), Regions: e.runner.config.Catalog.Regions(route, e.view.Spec.Tenant), Model: e.view.Spec.Model, MinVersion: e.view.Spec.MinVersion,
 		Zone: e.runner.config.Zone, Affinity: e.item.Group, Share: 1, Exclude: e.exclude, Events: e.left(), Since: e.waitingSince,
 	}
-	want.Slack = policy.Slack(e.critical.Value(), e.runner.config.Directory.QuickestPace(want.Pool, want.Model))
+	want.Slack = policy.Slack(e.critical.Value(), e.runner.config.Directory.FastestPace(want.Pool, want.Model))
 	if route.SingleVersion && len(e.versions) > 0 {
 		want.ExactVersion = e.versions[0]
 	}
@@ -108,7 +108,7 @@
 // rankOf returns the item's rank as of now.
 func (e *execution) rankOf(want fleet.Want) Rank {
 	rank := e.rank
-	rank.MayHold = policy.MayHold(want.Events, e.critical.Value())
+	rank.MayHold = policy.MayBeCritical(want.Events, e.critical.Value())
 	rank.Yielded = int(e.yielded.Load())
 	rank.LatestStart = policy.LatestStart(e.view.AcceptedAt, want.Events, e.runner.config.Directory.TypicalPace(want.Pool))
 	return rank
@@ -141,17 +141,17 @@
 	// Nothing is sent by this, so that it is no trial.
 	others.ExactVersion, others.Exclude, others.NoTrial = 0, nil, true
 	for _, engine := range directory.Pool(want.Pool) {
-		if engine.Serves(want.Model) == want.ExactVersion {
+		if engine.ServedVersion(want.Model) == want.ExactVersion {
 			others.Exclude = append(others.Exclude, engine.ID)
 		}
 	}
-	return directory.HasRoom(others)
+	return directory.HasFreeSlot(others)
 }
 
 // servedAnywhere tells whether an engine serves the wanted version, tried or not, loading or not.
 func (e *execution) servedAnywhere(want fleet.Want) bool {
 	for _, engine := range e.runner.config.Directory.Pool(want.Pool) {
-		if !engine.Draining && engine.Serves(want.Model) == want.ExactVersion {
+		if !engine.Draining && engine.ServedVersion(want.Model) == want.ExactVersion {
 			return true
 		}
 	}
--- a/internal/jobrun/quarantine_test.go
+++ b/internal/jobrun/quarantine_test.go
@@ -68,8 +68,8 @@
 				runs++
 			}
 		}
-		is.True(runs >= policy.ItemStrikes)
-		is.True(runs <= policy.ItemStrikes+2)
+		is.True(runs >= policy.ItemCrashLimit)
+		is.True(runs <= policy.ItemCrashLimit+2)
 		whole := 0
 		for _, result := range owner.results(one.ID) {
 			is.Equal(result.Dead, result.ItemID == one.Items[3].ID)
--- a/internal/jobrun/queue.go
+++ b/internal/jobrun/queue.go
@@ -219,7 +219,7 @@
 	if !next.rank.MayHold {
 		return nil
 	}
-	return q.leastUrgentAt(q.directory.Suitable(next.want), next.rank)
+	return q.leastUrgentAt(q.directory.SuitableEngines(next.want), next.rank)
 }
 
 // leastUrgentAt returns the place, at one of some engines, of the run that can wait longest of those that yield to an item of a rank.
@@ -280,7 +280,7 @@
 	if !rank.MayHold {
 		return nil
 	}
-	better := q.directory.Better(current, want)
+	better := q.directory.BetterEngines(current, want)
 	if len(better) == 0 {
 		return nil
 	}
--- a/internal/jobrun/queue_test.go
+++ b/internal/jobrun/queue_test.go
@@ -25,7 +25,7 @@
 	for i, pace := range paces {
 		id := fmt.Sprint("engine", i)
 		directory.Upsert(fleet.Engine{ID: id, Pool: "p", Slots: slots})
-		directory.Paced(id, pace)
+		directory.RecordGap(id, pace)
 	}
 	queue := NewQueue(directory)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -43,7 +43,7 @@
 // acquire asks for a place for work of so many events of a job accepted at a moment, and returns it once it is given.
 func acquire(queue *Queue, accepted time.Time, events float64, yield func()) <-chan *Place {
 	given := make(chan *Place, 1)
-	rank := Rank{LatestStart: policy.LatestStart(accepted, events, testPace), MayHold: policy.MayHold(events, testCritical)}
+	rank := Rank{LatestStart: policy.LatestStart(accepted, events, testPace), MayHold: policy.MayBeCritical(events, testCritical)}
 	want := fleet.Want{Pool: "p", Share: 1, Events: events, Since: time.Now()}
 	go func() {
 		place, _ := queue.Acquire(context.Background(), rank, want, yield)
@@ -174,7 +174,7 @@
 				long := <-acquire(queue, accepted.Add(-5*time.Second), 5, nil)
 				is.Equal(long.Engine.ID, "engine0")
 				rank := Rank{LatestStart: policy.LatestStart(accepted, test.left, testPace), MayHold: test.mayHold}
-				want := fleet.Want{Pool: "p", Share: 1, Events: test.left, Slack: policy.Steady(testPace).Time(test.slack)}
+				want := fleet.Want{Pool: "p", Share: 1, Events: test.left, Slack: policy.ConstantPace(testPace).Time(test.slack)}
 				reserved := queue.Reserve("engine0", rank, want)
 				is.Equal(reserved != nil, test.reserves)
 				is.Equal(asked.Load() == 1, test.reserves)
--- a/internal/jobrun/runner.go
+++ b/internal/jobrun/runner.go
@@ -269,14 +269,14 @@
 func (r *runner) left(estimate, made int) float64 {
 	r.lengthMutex.Lock()
 	defer r.lengthMutex.Unlock()
-	return r.lengths.Left(estimate, made)
+	return r.lengths.Remaining(estimate, made)
 }
 
 // learnLength takes how many events an item came to.
 func (r *runner) learnLength(estimate, events int) {
 	r.lengthMutex.Lock()
 	defer r.lengthMutex.Unlock()
-	r.lengths.Learn(estimate, events)
+	r.lengths.Observe(estimate, events)
 }
 
 // learnListed takes the lengths of a job's items that are listed already: an owner that has just begun knows no others.
--- a/internal/ownership/watch.go
+++ b/internal/ownership/watch.go
@@ -60,7 +60,7 @@
 				"held", m.count.Load())
 			return true
 		}
-		asking.update(ctx, !m.Holds() && policy.AsksFor(group.members, m.config.Share))
+		asking.update(ctx, !m.Holds() && policy.RequestsPartitions(group.members, m.config.Share))
 	}
 }
 
--- a/internal/policy/crashes.go
+++ b/internal/policy/crashes.go
@@ -14,15 +14,15 @@
 }
 
 const (
-	// RequestStrikes is the number of engines that may terminate under a request before the request is withheld. A
+	// RequestCrashLimit is the number of engines that may terminate under a request before the request is withheld. A
 	// single termination is most likely a coincidence, and callers are promised a retry; a pool of three keeps one
 	// engine through two.
-	RequestStrikes = 2
-	// ItemStrikes is the same limit for items of jobs and the calls that score them, which run concurrently with as many
+	RequestCrashLimit = 2
+	// ItemCrashLimit is the same limit for items of jobs and the calls that score them, which run concurrently with as many
 	// others as an engine has slots. In a pool of three, an item that shares an engine with a request that crashes two
 	// engines has a probability of one half to be retried beside that request and to see the second crash too. With a
 	// limit one higher it is not mistaken for the cause, and its step does not wait for its trial.
-	ItemStrikes = 3
+	ItemCrashLimit = 3
 	// CrashMemory is the time for which crashes count after the last one. After a day the cause has most likely been
 	// fixed.
 	CrashMemory = 24 * time.Hour
@@ -34,16 +34,16 @@
 // platforms allow three sends after the third crash; two trials leave one for a send that crosses the update.
 var trialDelays = []time.Duration{3 * time.Second, 10 * time.Minute}
 
-// TrialLasts is the usual upper bound for the duration of a trial; a complete response takes a fraction of it. Requests
+// TrialDuration is the usual upper bound for the duration of a trial; a complete response takes a fraction of it. Requests
 // that are refused during a trial are told to retry after it.
-const TrialLasts = 2 * time.Second
+const TrialDuration = 2 * time.Second
 
 // Access is the decision whether a request may be sent to an engine.
 type Access int
 
 const (
-	// AccessFree allows sending.
-	AccessFree Access = iota
+	// AccessAllowed allows sending.
+	AccessAllowed Access = iota
 	// AccessTrial allows sending to one engine, by a single sender.
 	AccessTrial
 	// AccessWithheld withholds the request.
@@ -56,9 +56,9 @@
 	since := now.Sub(c.Last)
 	switch {
 	case c.Engines < strikes || since >= CrashMemory:
-		return AccessFree, 0
-	case c.Trials > 0 && since < TrialLasts:
-		return AccessWithheld, TrialLasts - since
+		return AccessAllowed, 0
+	case c.Trials > 0 && since < TrialDuration:
+		return AccessWithheld, TrialDuration - since
 	case c.Trials >= len(trialDelays):
 		return AccessWithheld, CrashMemory - since
 	case since < trialDelays[c.Trials]:
--- a/internal/policy/deal_test.go
+++ b/internal/policy/deal_test.go
@@ -63,7 +63,7 @@
 		loads := drawLoads(t, models)
 		slots := float64(rapid.IntRange(1, 12).Draw(t, "slots"))
 		engines := rapid.IntRange(models, 14).Draw(t, "engines")
-		assigned := policy.Deal(engines, slots, loads)
+		assigned := policy.AssignEngines(engines, slots, loads)
 		total := 0
 		for _, count := range assigned {
 			if count < 1 {
@@ -79,7 +79,7 @@
 			t.Fatalf("%v costs %v, the cheapest %v", assigned, policy.AssignmentCost(assigned, slots, loads), lowest)
 		}
 		many := rapid.IntRange(models, 500).Draw(t, "many")
-		if policy.AssignmentCost(policy.Deal(many, slots, loads), slots, loads) > rounding*policy.AssignmentCost(evenAssignment(many, models), slots, loads) {
+		if policy.AssignmentCost(policy.AssignEngines(many, slots, loads), slots, loads) > rounding*policy.AssignmentCost(evenAssignment(many, models), slots, loads) {
 			t.Fatalf("the even assignment of %d engines costs less", many)
 		}
 	})
@@ -91,8 +91,8 @@
 	loads := []policy.StepLoad{
 		{Work: time.Second}, {Work: 3 * time.Second, Priority: 1}, {Work: 2 * time.Second}, {Work: 4 * time.Second, Priority: 1},
 	}
-	is.Equal(policy.Deal(3, 6, loads), []int{1, 0, 1, 1})
-	is.Equal(policy.Deal(0, 6, loads), []int{0, 0, 0, 0})
+	is.Equal(policy.AssignEngines(3, 6, loads), []int{1, 0, 1, 1})
+	is.Equal(policy.AssignEngines(0, 6, loads), []int{0, 0, 0, 0})
 }
 
 // TestHeavyModelsGetMoreEngines uses loads measured in a large pool: light models must keep enough engines to keep up,
@@ -103,7 +103,7 @@
 	light := policy.StepLoad{Work: 40 * time.Second, Longest: 2500 * time.Millisecond, Interval: 4 * time.Second}
 	loads := []policy.StepLoad{heavy, heavy, heavy, heavy, heavy, light, light, light}
 	const engines, slots = 77, 6
-	assigned := policy.Deal(engines, slots, loads)
+	assigned := policy.AssignEngines(engines, slots, loads)
 	even := evenAssignment(engines, len(loads))
 	for i, load := range loads {
 		now, before := policy.StepTime(load, assigned[i], slots), policy.StepTime(load, even[i], slots)
@@ -113,22 +113,22 @@
 			is.True(now < 6*time.Second)
 		}
 	}
-	is.True(policy.WorthDealing(even, assigned, slots, loads, time.Second))
-	is.True(!policy.WorthDealing(assigned, assigned, slots, loads, time.Second))
+	is.True(policy.WorthReassigning(even, assigned, slots, loads, time.Second))
+	is.True(!policy.WorthReassigning(assigned, assigned, slots, loads, time.Second))
 
 	// Moving one engine between heavy models gains nothing, whatever a load costs.
 	other := append([]int(nil), assigned...)
 	other[0]++
 	other[1]--
-	is.True(!policy.WorthDealing(other, assigned, slots, loads, time.Second))
+	is.True(!policy.WorthReassigning(other, assigned, slots, loads, time.Second))
 }
 
 // TestAssignmentIsEvenWithoutLoads checks that models without any load, or without a known one, share the engines
 // evenly.
 func TestAssignmentIsEvenWithoutLoads(t *testing.T) {
 	is := is.New(t)
-	is.Equal(policy.Deal(8, 6, make([]policy.StepLoad, 3)), []int{3, 3, 2})
-	is.True(!policy.WorthDealing([]int{3, 3, 2}, []int{2, 3, 3}, 6, make([]policy.StepLoad, 3), time.Second))
+	is.Equal(policy.AssignEngines(8, 6, make([]policy.StepLoad, 3)), []int{3, 3, 2})
+	is.True(!policy.WorthReassigning([]int{3, 3, 2}, []int{2, 3, 3}, 6, make([]policy.StepLoad, 3), time.Second))
 }
 
 func BenchmarkAssignEngines(b *testing.B) {
@@ -142,7 +142,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				policy.Deal(engines, 6, loads)
+				policy.AssignEngines(engines, 6, loads)
 			}
 		})
 	}
@@ -155,8 +155,8 @@
 	load := policy.StepLoad{Work: 80 * time.Second, Longest: 4 * time.Second, Interval: 4 * time.Second}
 	late := load
 	late.Behind = 3 * time.Second
-	is.Equal(policy.Deal(12, 8, []policy.StepLoad{load, load}), []int{6, 6})
-	assigned := policy.Deal(12, 8, []policy.StepLoad{load, late})
+	is.Equal(policy.AssignEngines(12, 8, []policy.StepLoad{load, load}), []int{6, 6})
+	assigned := policy.AssignEngines(12, 8, []policy.StepLoad{load, late})
 	is.True(assigned[1] > assigned[0])
 	is.True(assigned[0] >= 4)
 
--- a/internal/policy/demand_test.go
+++ b/internal/policy/demand_test.go
@@ -89,7 +89,7 @@
 		count := int(32 * time.Second / interval)
 		recorded["c"] = steps(count, interval, 100_000, 80*time.Second, 4*time.Second)
 		loads := policy.StepLoads(recorded, time.Unix(32, 0))
-		assigned := policy.Deal(30, 6, []policy.StepLoad{loads["a"], loads["b"], loads["c"]})
+		assigned := policy.AssignEngines(30, 6, []policy.StepLoad{loads["a"], loads["b"], loads["c"]})
 		is.Equal(assigned, []int{10, 10, 10})
 	}
 }
--- a/internal/policy/lengths.go
+++ b/internal/policy/lengths.go
@@ -22,8 +22,8 @@
 // few are among the longest twentieth.
 const minSamplesForCap = 64
 
-// Learn adds a completed item.
-func (l *Lengths) Learn(estimate, events int) {
+// Observe adds a completed item.
+func (l *Lengths) Observe(estimate, events int) {
 	if estimate <= 0 || events <= 0 {
 		return
 	}
@@ -43,9 +43,9 @@
 	return len(l.sortedRatios) > 0
 }
 
-// Left returns the expected number of events left of an item that has made some, as the average over the known items
+// Remaining returns the expected number of events left of an item that has made some, as the average over the known items
 // that were at least as long relative to their estimates. It is 0 if nothing is known.
-func (l *Lengths) Left(estimate, produced int) float64 {
+func (l *Lengths) Remaining(estimate, produced int) float64 {
 	if estimate <= 0 || len(l.sortedRatios) == 0 {
 		return 0
 	}
--- a/internal/policy/lengths_test.go
+++ b/internal/policy/lengths_test.go
@@ -15,28 +15,28 @@
 	is := is.New(t)
 	var lengths policy.Lengths
 	is.True(!lengths.Known())
-	is.Equal(lengths.Left(1000, 0), 0.0)
+	is.Equal(lengths.Remaining(1000, 0), 0.0)
 	random := rand.New(rand.NewSource(1))
 	const tokensPerEvent = 50
 	var ratios []float64
 	for range 256 {
 		ratio := math.Exp(0.5 * random.NormFloat64())
 		ratios = append(ratios, ratio)
-		lengths.Learn(100*tokensPerEvent, int(100*ratio))
+		lengths.Observe(100*tokensPerEvent, int(100*ratio))
 	}
 	is.True(lengths.Known())
 	mean := 0.0
 	for _, ratio := range ratios {
 		mean += 100 * ratio / float64(len(ratios))
 	}
-	is.True(math.Abs(lengths.Left(100*tokensPerEvent, 0)-mean) < 2)
-	is.True(math.Abs(lengths.Left(10*tokensPerEvent, 0)-mean/10) < 1)
+	is.True(math.Abs(lengths.Remaining(100*tokensPerEvent, 0)-mean) < 2)
+	is.True(math.Abs(lengths.Remaining(10*tokensPerEvent, 0)-mean/10) < 1)
 	// An item that has reached its estimate is in the longer half and has more left than its estimate says.
-	is.True(lengths.Left(100*tokensPerEvent, 100) > 20)
+	is.True(lengths.Remaining(100*tokensPerEvent, 100) > 20)
 	for made := range 2000 {
-		is.True(lengths.Left(100*tokensPerEvent, made) >= 1)
+		is.True(lengths.Remaining(100*tokensPerEvent, made) >= 1)
 	}
-	is.Equal(lengths.Left(0, 10), 0.0)
+	is.Equal(lengths.Remaining(0, 10), 0.0)
 }
 
 // TestLengthsForgetOldItems checks that old items no longer count, so that expected lengths follow the model.
@@ -44,12 +44,12 @@
 	is := is.New(t)
 	var lengths policy.Lengths
 	for range 300 {
-		lengths.Learn(100, 10)
+		lengths.Observe(100, 10)
 	}
 	for range 256 {
-		lengths.Learn(100, 30)
+		lengths.Observe(100, 30)
 	}
-	is.True(math.Abs(lengths.Left(100, 0)-30) < 1e-9)
+	is.True(math.Abs(lengths.Remaining(100, 0)-30) < 1e-9)
 }
 
 // TestExpectedLengthIsCapped covers engines that end responses at some number of tokens. The ratios of short items made
@@ -61,11 +61,11 @@
 	random := rand.New(rand.NewSource(1))
 	for range 256 {
 		estimate := 10 + random.Intn(100)
-		lengths.Learn(estimate, min(maxEvents, max(1, int(float64(estimate)*math.Exp(0.8*random.NormFloat64())))))
+		lengths.Observe(estimate, min(maxEvents, max(1, int(float64(estimate)*math.Exp(0.8*random.NormFloat64())))))
 	}
-	is.True(lengths.Left(20, 0) < 60)
-	is.Equal(lengths.Left(1000, 0), float64(maxEvents))
-	is.Equal(lengths.Left(1000, 100), float64(maxEvents-100))
+	is.True(lengths.Remaining(20, 0) < 60)
+	is.Equal(lengths.Remaining(1000, 0), float64(maxEvents))
+	is.Equal(lengths.Remaining(1000, 100), float64(maxEvents-100))
 	// An item beyond the cap still has something left.
-	is.True(lengths.Left(1000, 2*maxEvents) >= 1)
+	is.True(lengths.Remaining(1000, 2*maxEvents) >= 1)
 }
--- a/internal/policy/outlook.go
+++ b/internal/policy/outlook.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Outlook is the expected pace of an engine. The zero value means that the pace is unknown.
-type Outlook struct {
-	// Now and Usual are times between two events; Now is never the shorter one.
-	Now, Usual time.Duration
-	// Slowed is the time for which the engine has been slower than usual.
-	Slowed time.Duration
+// Forecast is the expected pace of an engine. The zero value means that the pace is unknown.
+type Forecast struct {
+	// Current and Usual are times between two events; Current is never the shorter one.
+	Current, Usual time.Duration
+	// SlowedFor is the time for which the engine has been slower than usual.
+	SlowedFor time.Duration
 }
 
-// Steady returns the forecast for an engine with a constant pace.
-func Steady(pace time.Duration) Outlook {
-	return Outlook{Now: pace, Usual: pace}
+// ConstantPace returns the forecast for an engine with a constant pace.
+func ConstantPace(pace time.Duration) Forecast {
+	return Forecast{Current: pace, Usual: pace}
 }
 
 // Known reports whether the engine's pace is known.
-func (o Outlook) Known() bool {
+func (o Forecast) Known() bool {
 	return o.Usual > 0
 }
 
 // Time returns the expected duration of a number of events. A slowdown is expected to last as long again as it has
 // lasted; the remaining events take the usual pace.
-func (o Outlook) Time(events float64) time.Duration {
+func (o Forecast) Time(events float64) time.Duration {
 	slow := 0.0
-	if o.Now > o.Usual {
-		slow = min(events, float64(o.Slowed)/float64(o.Now))
+	if o.Current > o.Usual {
+		slow = min(events, float64(o.SlowedFor)/float64(o.Current))
 	}
-	return time.Duration(slow*float64(o.Now) + (events-slow)*float64(o.Usual))
+	return time.Duration(slow*float64(o.Current) + (events-slow)*float64(o.Usual))
 }
 
 // Delay returns by how much work with a number of events left ends later at an engine than both its slack and the
 // fastest pace allow, 0 if either pace is unknown.
-func Delay(events float64, engine Outlook, fastest, slack time.Duration) time.Duration {
+func Delay(events float64, engine Forecast, fastest, slack time.Duration) time.Duration {
 	if !engine.Known() || fastest <= 0 {
 		return 0
 	}
-	return max(0, engine.Time(events)-max(slack, Steady(fastest).Time(events)))
+	return max(0, engine.Time(events)-max(slack, ConstantPace(fastest).Time(events)))
 }
 
-// Declines reports whether work that has waited for some time keeps waiting for a faster engine instead of starting on
+// KeepsWaiting reports whether work that has waited for some time keeps waiting for a faster engine instead of starting on
 // one that delays it. It waits no longer than that delay, so that it ends at most the delay after the best possible
 // time, however long faster engines stay full (the ski rental rule: at most twice the optimal cost), and never longer
 // than maxFastEngineWait.
-func Declines(waited, delay time.Duration) bool {
+func KeepsWaiting(waited, delay time.Duration) bool {
 	return waited < min(delay, maxFastEngineWait)
 }
 
@@ -63,7 +63,7 @@
 
 // WorthMoving reports whether work with a number of events left should continue at another engine. Time saved within its
 // slack does not count.
-func WorthMoving(events float64, engine, other Outlook, slack time.Duration) bool {
+func WorthMoving(events float64, engine, other Forecast, slack time.Duration) bool {
 	if !engine.Known() || !other.Known() {
 		return false
 	}
--- a/internal/policy/pace.go
+++ b/internal/policy/pace.go
@@ -95,17 +95,17 @@
 	return p.usual
 }
 
-// Outlook returns the pace forecast of the engine. An engine that is faster than usual counts as usual, because events
+// Forecast returns the pace forecast of the engine. An engine that is faster than usual counts as usual, because events
 // that waited for their reader arrive at once. A slowdown counts as over once no gap was added for as long as it had
 // lasted.
-func (p *Pace) Outlook(now time.Time) Outlook {
-	forecast := Steady(p.Usual())
+func (p *Pace) Forecast(now time.Time) Forecast {
+	forecast := ConstantPace(p.Usual())
 	if p.slowedAt.IsZero() {
 		return forecast
 	}
 	sinceLastGap := now.Sub(p.addedAt)
 	if slowed := p.addedAt.Sub(p.slowedAt) - sinceLastGap; slowed > 0 {
-		forecast.Now, forecast.Slowed = max(p.Value(), forecast.Usual), slowed
+		forecast.Current, forecast.SlowedFor = max(p.Value(), forecast.Usual), slowed
 	}
 	return forecast
 }
--- a/internal/policy/pace_test.go
+++ b/internal/policy/pace_test.go
@@ -36,9 +36,9 @@
 	const slow, seeded = 60 * time.Millisecond, 27 * time.Millisecond
 	is := is.New(t)
 	var pace policy.Pace
-	is.Equal(pace.Outlook(time.Unix(1000, 0)), policy.Outlook{})
+	is.Equal(pace.Forecast(time.Unix(1000, 0)), policy.Forecast{})
 	pace.Seed(seeded)
-	is.Equal(pace.Outlook(time.Unix(1000, 0)), policy.Steady(seeded))
+	is.Equal(pace.Forecast(time.Unix(1000, 0)), policy.ConstantPace(seeded))
 	now := time.Unix(1000, 0)
 	stream := func(count int) {
 		for range count {
@@ -54,7 +54,7 @@
 		for range 40 {
 			pace.Add(time.Microsecond, now)
 		}
-		is.Equal(pace.Outlook(now), policy.Steady(slow))
+		is.Equal(pace.Forecast(now), policy.ConstantPace(slow))
 	}
 	pace.Seed(seeded)
 	is.Equal(pace.Usual(), slow)
@@ -64,12 +64,12 @@
 // one.
 func TestForecastTime(t *testing.T) {
 	is := is.New(t)
-	slowed := policy.Outlook{Now: 60 * time.Millisecond, Usual: 30 * time.Millisecond, Slowed: 600 * time.Millisecond}
+	slowed := policy.Forecast{Current: 60 * time.Millisecond, Usual: 30 * time.Millisecond, SlowedFor: 600 * time.Millisecond}
 	is.Equal(slowed.Time(5), 300*time.Millisecond)
 	is.Equal(slowed.Time(10), 600*time.Millisecond)
 	is.Equal(slowed.Time(100), 3300*time.Millisecond)
-	is.Equal(policy.Steady(30*time.Millisecond).Time(100), 3*time.Second)
-	is.Equal(policy.Outlook{}.Time(100), time.Duration(0))
+	is.Equal(policy.ConstantPace(30*time.Millisecond).Time(100), 3*time.Second)
+	is.Equal(policy.Forecast{}.Time(100), time.Duration(0))
 }
 
 // TestWaitingCostsTwiceTheOptimumAtMost starts work on a slow engine after it has waited as long as that engine delays
@@ -81,15 +81,15 @@
 	for range 1000 {
 		events := float64(1 + random.Intn(200))
 		free := time.Duration(random.Intn(5000)) * time.Millisecond
-		delay := policy.Delay(events, policy.Steady(slow), fast, 0)
+		delay := policy.Delay(events, policy.ConstantPace(slow), fast, 0)
 		work := time.Duration(events * float64(fast))
 		optimal := work + min(free, delay)
 		// Until it has waited for the delay it declines the slow engine.
 		waits := min(free, delay)
 		for waited := time.Duration(0); waited < waits; waited += 10 * time.Millisecond {
-			is.True(policy.Declines(waited, delay))
+			is.True(policy.KeepsWaiting(waited, delay))
 		}
-		is.True(!policy.Declines(delay, delay))
+		is.True(!policy.KeepsWaiting(delay, delay))
 		actual := work + waits
 		if free > delay {
 			actual += delay
@@ -111,7 +111,7 @@
 		maxMoveDelay  = 2 * time.Second
 	)
 	is := is.New(t)
-	other := policy.Steady(usual)
+	other := policy.ConstantPace(usual)
 	var pace policy.Pace
 	now := time.Unix(1000, 0)
 	// stream returns when the work would have moved, negative if never. Each gap belongs to one stream, and the streams
@@ -121,7 +121,7 @@
 		for passed := time.Duration(0); passed < span; passed += gap / streams {
 			now = now.Add(gap / streams)
 			pace.Add(gap, now)
-			if moved < 0 && policy.WorthMoving(events, pace.Outlook(now), other, 0) {
+			if moved < 0 && policy.WorthMoving(events, pace.Forecast(now), other, 0) {
 				moved = passed
 			}
 		}
@@ -137,7 +137,7 @@
 	is.True(moved >= 0 && moved <= maxMoveDelay)
 	is.Equal(pace.Usual(), slowed)
 	// Without further events the slowdown may be over by then, but it has become the usual pace.
-	is.Equal(pace.Outlook(now.Add(long)), policy.Steady(slowed))
+	is.Equal(pace.Forecast(now.Add(long)), policy.ConstantPace(slowed))
 }
 
 func TestWorthMoving(t *testing.T) {
@@ -156,7 +156,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(policy.WorthMoving(test.events, policy.Steady(test.pace), policy.Steady(test.other), 0), test.worth)
+			is.Equal(policy.WorthMoving(test.events, policy.ConstantPace(test.pace), policy.ConstantPace(test.other), 0), test.worth)
 		})
 	}
 }
@@ -169,15 +169,15 @@
 	is := is.New(t)
 	slack := policy.Slack(140, fast)
 	for _, events := range []float64{1, 20, 45} {
-		is.Equal(policy.Delay(events, policy.Steady(slow), fast, slack), time.Duration(0))
-		is.True(!policy.WorthMoving(events, policy.Steady(slow), policy.Steady(fast), slack))
+		is.Equal(policy.Delay(events, policy.ConstantPace(slow), fast, slack), time.Duration(0))
+		is.True(!policy.WorthMoving(events, policy.ConstantPace(slow), policy.ConstantPace(fast), slack))
 	}
 	for _, events := range []float64{60, 100, 140} {
-		is.True(policy.Delay(events, policy.Steady(slow), fast, slack) > 0)
-		is.True(policy.WorthMoving(events, policy.Steady(slow), policy.Steady(fast), slack))
+		is.True(policy.Delay(events, policy.ConstantPace(slow), fast, slack) > 0)
+		is.True(policy.WorthMoving(events, policy.ConstantPace(slow), policy.ConstantPace(fast), slack))
 	}
 	// The longest item has no delay at the fastest engine.
-	is.Equal(policy.Delay(140, policy.Steady(fast), fast, slack), time.Duration(0))
+	is.Equal(policy.Delay(140, policy.ConstantPace(fast), fast, slack), time.Duration(0))
 	// Neither the length nor the pace is known.
 	is.Equal(policy.Slack(0, fast), time.Duration(0))
 	is.Equal(policy.Slack(140, 0), time.Duration(0))
--- a/internal/policy/scale.go
+++ b/internal/policy/scale.go
@@ -70,7 +70,7 @@
 	}
 	// More engines never make a step longer.
 	above := sort.Search(upper-lower, func(above int) bool {
-		return TypicalStep(Deal(lower+above, slots, busy), slots, busy) <= allowed
+		return TypicalStep(AssignEngines(lower+above, slots, busy), slots, busy) <= allowed
 	})
 	return lower + above
 }
--- a/internal/policy/standby_test.go
+++ b/internal/policy/standby_test.go
@@ -52,9 +52,9 @@
 // a new member, and only small owners that leave can change that. Machines of equal size have no reason to request any.
 func TestOnlyLargerMachinesRequestPartitions(t *testing.T) {
 	is := is.New(t)
-	is.True(policy.AsksFor(append(holders(15, 0.8, 1), holders(1, 0.192, 1)...), 0.8))
-	is.True(!policy.AsksFor(holders(16, 0.8, 1), 0.8))
-	is.True(!policy.AsksFor(holders(16, 0.8, 1), 0.192))
-	is.True(!policy.AsksFor(holders(16, 0, 1), 0.8))
-	is.True(!policy.AsksFor(holders(16, 0.192, 0), 0.8))
+	is.True(policy.RequestsPartitions(append(holders(15, 0.8, 1), holders(1, 0.192, 1)...), 0.8))
+	is.True(!policy.RequestsPartitions(holders(16, 0.8, 1), 0.8))
+	is.True(!policy.RequestsPartitions(holders(16, 0.8, 1), 0.192))
+	is.True(!policy.RequestsPartitions(holders(16, 0, 1), 0.8))
+	is.True(!policy.RequestsPartitions(holders(16, 0.192, 0), 0.8))
 }
--- a/internal/policy/yield.go
+++ b/internal/policy/yield.go
@@ -19,9 +19,9 @@
 	criticalShare = 0.75
 )
 
-// MayHold reports whether an item may be on the critical path of its step, given the events left of it and the critical
+// MayBeCritical reports whether an item may be on the critical path of its step, given the events left of it and the critical
 // events of the step.
-func MayHold(events, critical float64) bool {
+func MayBeCritical(events, critical float64) bool {
 	return events > 0 && events >= criticalShare*critical
 }
 
@@ -29,7 +29,7 @@
 // pace of its engines are not known. It is the time of criticalShare of the critical events at that pace: an item that
 // turns out longer is recognized as critical while it runs, and then moves to a faster engine.
 func Slack(critical float64, fastest time.Duration) time.Duration {
-	return Steady(fastest).Time(criticalShare * critical)
+	return ConstantPace(fastest).Time(criticalShare * critical)
 }
 
 // Yields reports whether a run releases its slot to an item that may be critical, given the latest starts of both as of
--- a/internal/quarantine/admit.go
+++ b/internal/quarantine/admit.go
@@ -45,9 +45,9 @@
 	crashes := q.crashes(content)
 	access, wait := crashes.Access(strikes, time.Now())
 	switch {
-	case access == policy.AccessFree && crashes.Engines == 0:
+	case access == policy.AccessAllowed && crashes.Engines == 0:
 		return Clear, 0
-	case access == policy.AccessFree:
+	case access == policy.AccessAllowed:
 		return Suspect, 0
 	case q.takeTrial(content):
 		return Suspect, 0
@@ -55,7 +55,7 @@
 		return Suspect, 0
 	case access == policy.AccessTrial:
 		// Another one makes it, or nobody can ask for it while the store is away.
-		wait = policy.TrialLasts
+		wait = policy.TrialDuration
 	}
 	return Withheld, wait
 }
@@ -65,7 +65,7 @@
 	switch {
 	case crashes.Engines == 0:
 		return Clear
-	case access == policy.AccessFree:
+	case access == policy.AccessAllowed:
 		return Suspect
 	default:
 		return Withheld
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -99,13 +99,13 @@
 	engine := fleet.Engine{ID: engineID, Pool: "p"}
 	m.directory.Upsert(engine)
 	m.world.end(engineID)
-	standing := m.Broke(m.world.ctx, crashing, engine, errCut, policy.RequestStrikes)
+	standing := m.Broke(m.world.ctx, crashing, engine, errCut, policy.RequestCrashLimit)
 	time.Sleep(20 * time.Millisecond)
 	return standing
 }
 
 func (m *machine) standing(body string) quarantine.Standing {
-	standing, _ := m.Admit(m.world.ctx, call(body), policy.RequestStrikes)
+	standing, _ := m.Admit(m.world.ctx, call(body), policy.RequestCrashLimit)
 	return standing
 }
 
@@ -123,12 +123,12 @@
 		is.Equal(third.standing("y"), quarantine.Clear)
 		other := call("x")
 		other.Tenant = "another"
-		standing, _ := third.Admit(w.ctx, other, policy.RequestStrikes)
+		standing, _ := third.Admit(w.ctx, other, policy.RequestCrashLimit)
 		is.Equal(standing, quarantine.Clear)
-		_, wait := third.Admit(w.ctx, call("x"), policy.RequestStrikes)
+		_, wait := third.Admit(w.ctx, call("x"), policy.RequestCrashLimit)
 		is.True(wait > 0 && wait <= 10*time.Second)
 		// An item takes one end more.
-		standing, _ = third.Admit(w.ctx, call("x"), policy.ItemStrikes)
+		standing, _ = third.Admit(w.ctx, call("x"), policy.ItemCrashLimit)
 		is.Equal(standing, quarantine.Suspect)
 	})
 }
@@ -155,14 +155,14 @@
 		for i := range 5 {
 			engine := fleet.Engine{ID: fmt.Sprint("living", i)}
 			m.directory.Upsert(engine)
-			m.Broke(w.ctx, call("x"), engine, errCut, policy.RequestStrikes)
+			m.Broke(w.ctx, call("x"), engine, errCut, policy.RequestCrashLimit)
 			engine = fleet.Engine{ID: fmt.Sprint("leaving", i), Draining: true}
 			m.directory.Upsert(engine)
 			w.end(engine.ID)
-			m.Broke(w.ctx, call("x"), engine, errCut, policy.RequestStrikes)
+			m.Broke(w.ctx, call("x"), engine, errCut, policy.RequestCrashLimit)
 			engine = fleet.Engine{ID: fmt.Sprint("unlisted", i)}
 			w.end(engine.ID)
-			m.Broke(w.ctx, call("x"), engine, errCut, policy.RequestStrikes)
+			m.Broke(w.ctx, call("x"), engine, errCut, policy.RequestCrashLimit)
 			time.Sleep(time.Second)
 		}
 		is.Equal(m.standing("x"), quarantine.Clear)
@@ -475,7 +475,7 @@
 		admitted, appends := 0, w.store.Appends()
 		for range 40 {
 			asking.Go(func() {
-				standing, wait := m.Admit(w.ctx, call("x"), policy.RequestStrikes)
+				standing, wait := m.Admit(w.ctx, call("x"), policy.RequestCrashLimit)
 				mutex.Lock()
 				defer mutex.Unlock()
 				if standing != quarantine.Withheld {
--- a/internal/replica/records.go
+++ b/internal/replica/records.go
@@ -190,7 +190,7 @@
 func (a *engineApplier) Advanced(end int64) {
 	a.news.write(a.logger)
 	a.list.OwnRead(end)
-	a.directory.SetKnown()
+	a.directory.SetSynced()
 }
 
 // end forgets the engines that are kept for a while.
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -139,11 +139,11 @@
 func (r *Replica) watchEjections() {
 	r.metrics.ejected(r.directory.Ejected)
 	r.directory.OnEjection(func(ejection fleet.Ejection) {
-		if ejection.TakenBack {
+		if ejection.Readmitted {
 			r.config.Logger.Info("engine taken back", "engine", ejection.EngineID, "failures", ejection.Failures)
 			return
 		}
-		r.config.Logger.Info("engine ejected", "engine", ejection.EngineID, "cause", ejection.Cause, "lasts", ejection.Lasts,
+		r.config.Logger.Info("engine ejected", "engine", ejection.EngineID, "cause", ejection.Cause, "lasts", ejection.OpenFor,
 			"failures", ejection.Failures)
 	})
 }
@@ -268,7 +268,7 @@
 	if r.ingress.Stopping() {
 		return false
 	}
-	if !r.ready.Load() && r.catalog.Current() != nil && r.directory.Known() {
+	if !r.ready.Load() && r.catalog.Current() != nil && r.directory.Synced() {
 		if r.ready.CompareAndSwap(false, true) {
 			r.config.Logger.Info("ready", "configuration", r.catalog.Current().Version)
 		}
--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -142,7 +142,7 @@
 // look orders what is due. It returns false at the end of the tenure.
 func (t *term) look(ctx context.Context) bool {
 	current := t.config.Catalog.Current()
-	if current == nil || !t.config.Directory.Known() || t.config.Directory.Partial() {
+	if current == nil || !t.config.Directory.Synced() || t.config.Directory.Partial() {
 		return true
 	}
 	var due []Order
--- a/internal/scaler/scaler_test.go
+++ b/internal/scaler/scaler_test.go
@@ -99,7 +99,7 @@
 			w.directory.Upsert(fleet.Engine{ID: fmt.Sprint(zone, i), Pool: poolName, Zone: zone, Slots: 6})
 		}
 	}
-	w.directory.SetKnown()
+	w.directory.SetSynced()
 	return w
 }
 
--- a/internal/weightroll/board.go
+++ b/internal/weightroll/board.go
@@ -101,7 +101,7 @@
 	until := b.announcedBy(seen).Add(b.loading())
 	b.mutex.Unlock()
 	if order.Serving {
-		b.directory.SetServes(order.EngineID, order.Model, order.Version)
+		b.directory.SetServedVersion(order.EngineID, order.Model, order.Version)
 	} else {
 		b.directory.SetLoading(order.EngineID, order.Model, until)
 	}
@@ -117,7 +117,7 @@
 		b.skipped++
 		return err
 	}
-	b.directory.SetDealt(dealing.Pool, dealing.assignment())
+	b.directory.SetAssignedModels(dealing.Pool, dealing.assignment())
 	return nil
 }
 
--- a/internal/weightroll/order.go
+++ b/internal/weightroll/order.go
@@ -113,7 +113,7 @@
 		wait = reportEvery
 		if current, ok := r.config.Directory.Engine(step.Engine.ID); !ok || current.Draining || current.Restarted(step.Engine) {
 			return false
-		} else if current.Serves(step.Model) >= step.Version {
+		} else if current.ServedVersion(step.Model) >= step.Version {
 			return true
 		}
 		report, err := r.report(ctx, step.Engine)
@@ -154,7 +154,7 @@
 
 // serving tells all nodes that the engine serves the version. The next order need not wait for that.
 func (r *roller) serving(ctx context.Context, pool string, step Step) {
-	r.config.Directory.SetServes(step.Engine.ID, step.Model, step.Version)
+	r.config.Directory.SetServedVersion(step.Engine.ID, step.Model, step.Version)
 	r.active.Go(func() {
 		if _, err := r.announce(ctx, pool, step, true); err != nil && ctx.Err() == nil {
 			errorlog.Warn(r.config.Logger, "served version is not announced", err, "engine", step.Engine.ID)
--- a/internal/weightroll/plan.go
+++ b/internal/weightroll/plan.go
@@ -134,7 +134,7 @@
 	return slices.MinFunc(models, func(a, b string) int {
 		return cmp.Or(
 			cmp.Compare(missing[b], missing[a]),
-			cmp.Compare(targets[a]-engine.Serves(a), targets[b]-engine.Serves(b)),
+			cmp.Compare(targets[a]-engine.ServedVersion(a), targets[b]-engine.ServedVersion(b)),
 			strings.Compare(a, b),
 		)
 	})
@@ -168,7 +168,7 @@
 		if !assigned || engine.Draining {
 			continue
 		}
-		if engine.Serves(model) >= input.Targets[model] {
+		if engine.ServedVersion(model) >= input.Targets[model] {
 			fresh[model]++
 			continue
 		}
@@ -206,7 +206,7 @@
 
 // gap is by how many versions the engine is behind.
 func (s rankedStep) gap() int64 {
-	return s.Version - s.Engine.Serves(s.Model)
+	return s.Version - s.Engine.ServedVersion(s.Model)
 }
 
 // less compares what is loading and up to date of two models as parts of the engines that they have, then how far the engines are behind.
--- a/internal/weightroll/plan_test.go
+++ b/internal/weightroll/plan_test.go
@@ -161,7 +161,7 @@
 	targets := map[string]int64{"large": 2, "middle": 2, "small": 2}
 	loads := []policy.StepLoad{{Work: 12 * time.Second}, {Work: 11 * time.Second}, {Work: 8 * time.Second}}
 	share := func(engines int) map[string]int {
-		dealt := policy.Deal(engines, 8, loads)
+		dealt := policy.AssignEngines(engines, 8, loads)
 		return map[string]int{"large": dealt[0], "middle": dealt[1], "small": dealt[2]}
 	}
 	nine := engines(9, nil)
--- a/internal/weightroll/share.go
+++ b/internal/weightroll/share.go
@@ -33,7 +33,7 @@
 	previous, known := r.assignments[pool]
 	if !known {
 		// A successor goes on from what its predecessor dealt.
-		previous = r.config.Directory.Dealt(pool)
+		previous = r.config.Directory.AssignedModels(pool)
 	}
 	if r.config.Directory.Partial() || r.config.JobsKnown != nil && !r.config.JobsKnown() {
 		// Dealt engines that are not known yet would be replaced, each at the cost of a load; the ones that are known need not wait for them. So
@@ -46,7 +46,7 @@
 		if _, loading := r.loading[pool][engine.ID]; loading {
 			return true
 		}
-		return targets[model] > 0 && engine.Serves(model) >= targets[model]
+		return targets[model] > 0 && engine.ServedVersion(model) >= targets[model]
 	})
 	assignment, swapped := r.balance(pool, assignment, engines, shares)
 	if !maps.Equal(assignment, previous) {
@@ -115,9 +115,9 @@
 	}
 	perEngine := float64(slots) / float64(max(1, len(engines)))
 	kept := policy.EnginesKept(perEngine, loads, len(engines), total)
-	better := policy.Deal(kept, perEngine, loads)
+	better := policy.AssignEngines(kept, perEngine, loads)
 	same := len(r.shares[pool]) == len(models) && total == kept
-	if same && !policy.WorthDealing(dealt, better, perEngine, loads, r.usual) {
+	if same && !policy.WorthReassigning(dealt, better, perEngine, loads, r.usual) {
 		return r.shares[pool]
 	}
 	shares := make(map[string]int, len(models))
--- a/internal/weightroll/share_test.go
+++ b/internal/weightroll/share_test.go
@@ -32,7 +32,7 @@
 
 // dealt returns the assignment of the pool that the node has read.
 func (n *node) dealt() Assignment {
-	return n.holder.config.Directory.Dealt(poolName)
+	return n.holder.config.Directory.AssignedModels(poolName)
 }
 
 // TestAllProcessesLearnWhichEnginesAreWhose checks that every process knows the newest assignment of a pool, and that a successor
--- a/internal/weightroll/size_test.go
+++ b/internal/weightroll/size_test.go
@@ -39,7 +39,7 @@
 	version := int64(1)
 	for b.Loop() {
 		version++
-		directory.SetServes(ids[version%7777], "model1", version)
+		directory.SetServedVersion(ids[version%7777], "model1", version)
 		engines := relevant(directory.Pool("p"), previous, shares)
 		previous = Assign(engines, targets, previous, shares, stays)
 		Plan(PlanInput{Engines: engines, Targets: targets, Assignment: previous, AtOnce: 600})
@@ -53,7 +53,7 @@
 	for i := range 720 {
 		dealt[ids[i]] = fmt.Sprint("model", i%8)
 	}
-	directory.SetDealt("p", dealt)
+	directory.SetAssignedModels("p", dealt)
 	want := fleet.Want{Pool: "p", Model: "model1", MinVersion: 1, Share: 1, Events: 10, Zone: "zone-1", Affinity: "x", Since: time.Now()}
 	for b.Loop() {
 		for _, engine := range directory.Assign([]fleet.Want{want}) {
@@ -113,7 +113,7 @@
 		for _, engine := range []fleet.Engine{w.pool[0], w.pool[1], w.pool[6], w.pool[7]} {
 			dealt[engine.ID] = model
 		}
-		directory.SetDealt(poolName, dealt)
+		directory.SetAssignedModels(poolName, dealt)
 		directory.SetPartial(true)
 		for _, engine := range w.pool[4:] {
 			directory.Remove(engine.ID)
@@ -143,7 +143,7 @@
 		var known atomic.Bool
 		next.holder.config.JobsKnown = known.Load
 		dealt := Assignment{w.pool[0].ID: model, w.pool[6].ID: model}
-		next.holder.config.Directory.SetDealt(poolName, dealt)
+		next.holder.config.Directory.SetAssignedModels(poolName, dealt)
 		next.own(1)
 		next.catalog.SetVersion(model, 2)
 		time.Sleep(4 * loadTime)
