--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -57,7 +57,7 @@
 	paceMeasuredAt time.Time
 	// latency is the smoothed latency of complete responses.
 	latency time.Duration
-	// recentStarts are the times of recent starts of work there while it is cold.
+	// recentStarts are the times at which work started there within coldWindow, while it is cold.
 	recentStarts []time.Time
 }
 
@@ -66,7 +66,7 @@
 	mutex   sync.Mutex
 	engines map[string]*entry
 	changed broadcast.Signal
-	// assigned maps engines, known or not, to the models that they are assigned to, by pool.
+	// assigned maps engines, known or not, to their assigned models, by pool.
 	assigned map[string]map[string]string
 	regions  map[string]string
 	// evacuated holds the zones whose engines take no new work.
@@ -189,6 +189,7 @@
 	return merged
 }
 
+// Remove removes an engine together with this node's observations of it.
 func (d *Directory) Remove(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -234,8 +235,8 @@
 	d.engineChanged(found)
 }
 
-// SetAssignedModels sets the model that each engine of a pool is assigned to. Work of that model prefers the engine. The map must
-// not be changed afterwards.
+// SetAssignedModels sets the model that each engine of a pool is assigned to. Work of that model prefers the engine. The
+// map must not be changed afterwards.
 func (d *Directory) SetAssignedModels(pool string, models map[string]string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -246,8 +247,8 @@
 	d.changed.Notify()
 }
 
-// AssignedModels returns the model that each engine of a pool is assigned to, nil if no assignment was read. The map must not be
-// changed.
+// AssignedModels returns the model that each engine of a pool is assigned to, nil if no assignment was read. The map
+// must not be changed.
 func (d *Directory) AssignedModels(pool string) map[string]string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -178,8 +178,8 @@
 	return picked.Engine, true
 }
 
-// SuitableEngines returns the engines, full or not, at which a piece of work would end about as early as at the fastest one:
-// moving it to the fastest would not pay.
+// SuitableEngines returns the engines, full or not, at which a piece of work would end about as early as at the fastest
+// one: moving it to the fastest would not pay.
 func (d *Directory) SuitableEngines(want Want) map[string]bool {
 	now := time.Now()
 	d.mutex.Lock()
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -146,8 +146,8 @@
 	return found.pace.Usual() > 0 && (now.Sub(found.paceMeasuredAt) < paceTTL || d.peers.paces[found.engine.ID] == 0)
 }
 
-// usualPace returns an engine's usual pace as measured here recently, else the median of the peers' views, 0 if neither is
-// known. The mutex must be held, and peers refreshed.
+// usualPace returns an engine's usual pace as measured here recently, else the median of the peers' views, 0 if neither
+// is known. The mutex must be held, and peers refreshed.
 func (d *Directory) usualPace(found *entry, now time.Time) time.Duration {
 	if d.usesLocalPace(found, now) {
 		return found.pace.Usual()
--- a/internal/policy/breaker.go
+++ b/internal/policy/breaker.go
@@ -21,6 +21,7 @@
 	firstTrialAt time.Time
 }
 
+// BreakerState determines whether a breaker lets work through.
 type BreakerState int
 
 const (
@@ -32,6 +33,7 @@
 	BreakerOpen
 )
 
+// Failure is a kind of failure of an engine.
 type Failure int
 
 // Kinds of failure.
@@ -72,6 +74,8 @@
 	trialOverdueAfter = 4 * time.Second
 )
 
+// State returns the state of the breaker at a time. A breaker whose ejection is over is open again while a trial is in
+// progress.
 func (b *Breaker) State(now time.Time) BreakerState {
 	switch {
 	case b.openUntil.IsZero():
--- a/internal/policy/crashes.go
+++ b/internal/policy/crashes.go
@@ -18,10 +18,10 @@
 	// single termination is most likely a coincidence, and callers are promised a retry; a pool of three keeps one
 	// engine through two.
 	RequestCrashLimit = 2
-	// ItemCrashLimit is the same limit for items of jobs and the calls that score them, which run concurrently with as many
-	// others as an engine has slots. In a pool of three, an item that shares an engine with a request that crashes two
-	// engines has a probability of one half to be retried beside that request and to see the second crash too. With a
-	// limit one higher it is not mistaken for the cause, and its step does not wait for its trial.
+	// ItemCrashLimit is the same limit for items of jobs and the calls that score them, which run concurrently with as
+	// many others as an engine has slots. In a pool of three, an item that shares an engine with a request that crashes
+	// two engines has a probability of one half to be retried beside that request and to see the second crash too. With
+	// a limit one higher it is not mistaken for the cause, and its step does not wait for its trial.
 	ItemCrashLimit = 3
 	// CrashMemory is the time for which crashes count after the last one. After a day the cause has most likely been
 	// fixed.
@@ -34,8 +34,8 @@
 // platforms allow three sends after the third crash; two trials leave one for a send that crosses the update.
 var trialDelays = []time.Duration{3 * time.Second, 10 * time.Minute}
 
-// TrialDuration is the usual upper bound for the duration of a trial; a complete response takes a fraction of it. Requests
-// that are refused during a trial are told to retry after it.
+// TrialDuration is the usual upper bound for the duration of a trial; a complete response takes a fraction of it.
+// Requests that are refused during a trial are told to retry after it.
 const TrialDuration = 2 * time.Second
 
 // Access is the decision whether a request may be sent to an engine.
--- a/internal/policy/deal.go
+++ b/internal/policy/deal.go
@@ -59,9 +59,9 @@
 	return load.Longest + time.Duration(alone/spare+(enough-count)*alone/(spare*spare))
 }
 
-// AssignEngines returns how many of a pool's engines, with a number of slots each, are assigned to each model. Every model gets
-// one before any gets two, by priority and then by work. Each further engine goes where it saves most of the cost of
-// steps, which rises with a power of their time. The cost of a model is convex in its engines, so that no other
+// AssignEngines returns how many of a pool's engines, with a number of slots each, are assigned to each model. Every
+// model gets one before any gets two, by priority and then by work. Each further engine goes where it saves most of the
+// cost of steps, which rises with a power of their time. The cost of a model is convex in its engines, so that no other
 // assignment costs less in total.
 func AssignEngines(engines int, slots float64, loads []StepLoad) []int {
 	assigned := make([]int, len(loads))
@@ -116,9 +116,9 @@
 	return math.Pow(late, stepCostExponent) * math.Pow(priorityFactor, -float64(load.Priority))
 }
 
-// WorthReassigning reports whether replacing the current assignment by the proposed one pays. Each engine that changes its
-// model rereads all prompts and may load weights once more than otherwise, so that its model is one engine short for the
-// time of a load. The gain of the typical step must exceed that.
+// WorthReassigning reports whether replacing the current assignment by the proposed one pays. Each engine that changes
+// its model rereads all prompts and may load weights once more than otherwise, so that its model is one engine short for
+// the time of a load. The gain of the typical step must exceed that.
 func WorthReassigning(current, proposed []int, slots float64, loads []StepLoad, load time.Duration) bool {
 	moved := 0
 	for i := range current {
--- a/internal/policy/outlook.go
+++ b/internal/policy/outlook.go
@@ -39,8 +39,8 @@
 	return max(0, engine.Time(events)-max(slack, ConstantPace(fastest).Time(events)))
 }
 
-// KeepsWaiting reports whether work that has waited for some time keeps waiting for a faster engine instead of starting on
-// one that delays it. It waits no longer than that delay, so that it ends at most the delay after the best possible
+// KeepsWaiting reports whether work that has waited for some time keeps waiting for a faster engine instead of starting
+// on one that delays it. It waits no longer than that delay, so that it ends at most the delay after the best possible
 // time, however long faster engines stay full (the ski rental rule: at most twice the optimal cost), and never longer
 // than maxFastEngineWait.
 func KeepsWaiting(waited, delay time.Duration) bool {
--- a/internal/policy/pace_test.go
+++ b/internal/policy/pace_test.go
@@ -84,7 +84,7 @@
 		delay := policy.Delay(events, policy.ConstantPace(slow), fast, 0)
 		work := time.Duration(events * float64(fast))
 		optimal := work + min(free, delay)
-		// Until it has waited for the delay it declines the slow engine.
+		// The work keeps waiting until it has waited for the delay.
 		waits := min(free, delay)
 		for waited := time.Duration(0); waited < waits; waited += 10 * time.Millisecond {
 			is.True(policy.KeepsWaiting(waited, delay))
--- a/internal/policy/shares.go
+++ b/internal/policy/shares.go
@@ -102,7 +102,8 @@
 	return allocations
 }
 
-// Classes of demand to which slots are lent. Each function returns the number of slots of a demand in its class.
+// interactivePresent, interactiveTotal and trainingTotal are the classes of demand to which slots are lent. Each returns
+// how many slots of a demand are in its class.
 func interactivePresent(d Demand) int {
 	if !d.Interactive {
 		return 0
--- a/internal/policy/standby.go
+++ b/internal/policy/standby.go
@@ -37,8 +37,8 @@
 	return larger/float64(partitions) >= share
 }
 
-// RequestsPartitions reports whether a member that holds no partition requests some, since smaller members hold some. Members
-// without partitions are not in the list of owners, so that the smaller ones would otherwise never leave.
+// RequestsPartitions reports whether a member that holds no partition requests some, since smaller members hold some.
+// Members without partitions are not in the list of owners, so that the smaller ones would otherwise never leave.
 func RequestsPartitions(members []GroupMember, share float64) bool {
 	for _, member := range members {
 		if member.Partitions > 0 && member.Share > 0 && member.Share < share {
--- a/internal/policy/yield.go
+++ b/internal/policy/yield.go
@@ -19,8 +19,8 @@
 	criticalShare = 0.75
 )
 
-// MayBeCritical reports whether an item may be on the critical path of its step, given the events left of it and the critical
-// events of the step.
+// MayBeCritical reports whether an item may be on the critical path of its step, given the events left of it and the
+// critical events of the step.
 func MayBeCritical(events, critical float64) bool {
 	return events > 0 && events >= criticalShare*critical
 }
