--- a/internal/policy/outlook.go
+++ b/internal/policy/outlook.go
@@ -4,7 +4,7 @@
 
 // Forecast is the expected pace of an engine. The zero value means that the pace is unknown.
 type Forecast struct {
-	// Current and Usual are times between two events; Current is never the shorter one.
+	// Current and Usual are times between two events; Current is at least as long as Usual.
 	Current, Usual time.Duration
 	// SlowedFor is the time for which the engine has been slower than usual.
 	SlowedFor time.Duration
