--- a/internal/enginelist/list.go
+++ b/internal/enginelist/list.go
@@ -249,5 +249,5 @@
 			return
 		}
 	}
-	l.directory.SetKnown()
+	l.directory.SetSynced()
 }
--- a/internal/jobrun/decline_test.go
+++ b/internal/jobrun/decline_test.go
@@ -92,7 +92,7 @@
 		w.submit(one)
 		time.Sleep(10 * pace)
 		w.load("model1", 3)
-		owner.directory.SetServes("model1", modelName, 3)
+		owner.directory.SetServedVersion("model1", modelName, 3)
 		w.engines.Behave("model1", memoryengine.Behaviour{Pace: pace})
 		w.engines.Behave("model0", memoryengine.Behaviour{Down: true})
 		w.engines.Behave("model0", memoryengine.Behaviour{Full: true})
@@ -118,7 +118,7 @@
 		w.submit(one)
 		time.Sleep(10 * pace)
 		w.load("model1", 3)
-		owner.directory.SetServes("model1", modelName, 3)
+		owner.directory.SetServedVersion("model1", modelName, 3)
 		w.engines.Behave("model0", memoryengine.Behaviour{Down: true})
 		w.engines.Behave("model0", memoryengine.Behaviour{Full: true})
 		for range 40 {
--- a/internal/jobrun/ejection_test.go
+++ b/internal/jobrun/ejection_test.go
@@ -24,7 +24,7 @@
 		owner := w.newNode("owner")
 		ejections, readmitted := 0, 0
 		owner.directory.OnEjection(func(ejection fleet.Ejection) {
-			if ejection.TakenBack {
+			if ejection.Readmitted {
 				readmitted++
 			} else {
 				ejections++
--- a/internal/jobrun/execution.go
+++ b/internal/jobrun/execution.go
@@ -244,7 +244,7 @@
 func (e *execution) runInSlot(ctx context.Context, cancel context.CancelFunc, slot *Slot, route catalog.Route) eventrun.Result {
 	engine := slot.Engine
 	e.runner.config.Logger.Info("item placed", "job", e.view.Spec.ID, "item", e.item.ID, "group", e.item.Group, "engine", engine.ID,
-		"version", engine.Serves(e.view.Spec.Model), "min_version", e.view.Spec.MinVersion, "resume_after", len(e.events),
+		"version", engine.ServedVersion(e.view.Spec.Model), "min_version", e.view.Spec.MinVersion, "resume_after", len(e.events),
 		"epoch", e.runner.writer.Epoch(), "waited", time.Since(e.waitingSince).Round(time.Millisecond),
 		"left", math.Round(e.expectedEvents()), "critical", math.Round(e.critical.Value()))
 	waitingSince := e.waitingSince
@@ -265,7 +265,7 @@
 // withheld reports whether the item must not be sent because engines ended while they ran it. It is called after a slot was
 // acquired, since a trial that the quarantine grants must then be made.
 func (e *execution) withheld(ctx context.Context) bool {
-	standing, _ := e.runner.config.Quarantine.Admit(ctx, e.call(), policy.ItemStrikes)
+	standing, _ := e.runner.config.Quarantine.Admit(ctx, e.call(), policy.ItemCrashLimit)
 	return standing == quarantine.Withheld
 }
 
@@ -322,7 +322,7 @@
 	e.currentVersion = version
 	model := e.view.Spec.Model
 	if model != "" {
-		e.runner.config.Directory.SetServes(e.engine.ID, model, version)
+		e.runner.config.Directory.SetServedVersion(e.engine.ID, model, version)
 	}
 	if version < e.view.Spec.MinVersion {
 		return errVersion
@@ -365,7 +365,7 @@
 	if e.lastEventAt.IsZero() {
 		e.runner.config.Directory.Answered(e.engine.ID, e.sentAt)
 	} else {
-		e.runner.config.Directory.Paced(e.engine.ID, now.Sub(e.lastEventAt))
+		e.runner.config.Directory.RecordGap(e.engine.ID, now.Sub(e.lastEventAt))
 	}
 	e.lastEventAt = now
 }
--- a/internal/jobrun/jobrun_test.go
+++ b/internal/jobrun/jobrun_test.go
@@ -140,7 +140,7 @@
 		is := is.New(t)
 		w := newWorld(t, 2)
 		owner := w.newNode("owner")
-		owner.directory.SetServes("model1", modelName, 3)
+		owner.directory.SetServedVersion("model1", modelName, 3)
 		w.load("model1", 3)
 		time.Sleep(time.Second)
 		owner.own(1)
@@ -166,8 +166,8 @@
 		w := newWorld(t, 2)
 		owner := w.newNode("owner")
 		// The directory has version 3 for both engines; model0 serves version 2.
-		owner.directory.SetServes("model0", modelName, 3)
-		owner.directory.SetServes("model1", modelName, 3)
+		owner.directory.SetServedVersion("model0", modelName, 3)
+		owner.directory.SetServedVersion("model1", modelName, 3)
 		w.load("model1", 3)
 		time.Sleep(time.Second)
 		owner.own(1)
@@ -199,7 +199,7 @@
 						time.Sleep(time.Duration(random.Intn(400)) * time.Millisecond)
 						mode := []engineapi.LoadMode{engineapi.LoadCuts, engineapi.LoadKeeps}[random.Intn(2)]
 						w.loadWithMode(engine.ID, version, mode)
-						owner.directory.SetServes(engine.ID, modelName, version)
+						owner.directory.SetServedVersion(engine.ID, modelName, version)
 						owner.directory.SetLoading(engine.ID, modelName, time.Now().Add(500*time.Millisecond))
 					}
 				}
@@ -323,7 +323,7 @@
 					again.MinVersion = 3
 					for _, engine := range w.models {
 						w.load(engine.ID, 3)
-						owner.directory.SetServes(engine.ID, modelName, 3)
+						owner.directory.SetServedVersion(engine.ID, modelName, 3)
 					}
 				}
 				before := len(w.engines.Runs())
@@ -353,8 +353,8 @@
 		w.end("one")
 		for _, engine := range w.models {
 			w.load(engine.ID, 3)
-			first.directory.SetServes(engine.ID, modelName, 3)
-			next.directory.SetServes(engine.ID, modelName, 3)
+			first.directory.SetServedVersion(engine.ID, modelName, 3)
+			next.directory.SetServedVersion(engine.ID, modelName, 3)
 		}
 		time.Sleep(time.Second)
 		again := job.Spec{ID: "two", Route: "items", Host: "h", Model: modelName, MinVersion: 3, Items: one.Items}
--- a/internal/jobrun/judge.go
+++ b/internal/jobrun/judge.go
@@ -39,7 +39,7 @@
 		if !directory.Loading(e.engine.ID, e.view.Spec.Model) {
 			directory.Failed(e.engine.ID, policy.FailureInWork, result.Cause())
 		}
-		e.runner.config.Quarantine.ReportBroken(ctx, e.call(), e.engine, result.Err, policy.ItemStrikes)
+		e.runner.config.Quarantine.ReportBroken(ctx, e.call(), e.engine, result.Err, policy.ItemCrashLimit)
 		if result.Ending == eventrun.EndedSilent {
 			e.runner.config.Quarantine.ReportSilent(e.call(), e.engine, minEventGap)
 		}
@@ -57,7 +57,7 @@
 		directory.Failed(e.engine.ID, policy.FailureToConnect, result.Cause())
 		return
 	}
-	directory.TurnedAway(e.engine.ID)
+	directory.Rejected(e.engine.ID)
 	directory.SetLoading(e.engine.ID, e.view.Spec.Model, time.Now().Add(loadingBackoff))
 }
 
--- a/internal/jobrun/quarantine_test.go
+++ b/internal/jobrun/quarantine_test.go
@@ -69,8 +69,8 @@
 				runs++
 			}
 		}
-		is.True(runs >= policy.ItemStrikes)
-		is.True(runs <= policy.ItemStrikes+2)
+		is.True(runs >= policy.ItemCrashLimit)
+		is.True(runs <= policy.ItemCrashLimit+2)
 		completed := 0
 		for _, result := range owner.results(one.ID) {
 			is.Equal(result.Dead, result.ItemID == one.Items[3].ID)
--- a/internal/jobrun/queue.go
+++ b/internal/jobrun/queue.go
@@ -222,7 +222,7 @@
 	if !next.rank.MayBeCritical {
 		return nil
 	}
-	return q.leastUrgentAt(q.directory.Suitable(next.want), next.rank)
+	return q.leastUrgentAt(q.directory.SuitableEngines(next.want), next.rank)
 }
 
 // leastUrgentAt returns the slot of the run that can wait longest among those at the given engines that yield to an item of the
@@ -286,7 +286,7 @@
 	if !rank.MayBeCritical {
 		return nil
 	}
-	better := q.directory.Better(current, want)
+	better := q.directory.BetterEngines(current, want)
 	if len(better) == 0 {
 		return nil
 	}
--- a/internal/jobrun/queue_test.go
+++ b/internal/jobrun/queue_test.go
@@ -25,7 +25,7 @@
 	for i, pace := range paces {
 		id := fmt.Sprint("engine", i)
 		directory.Upsert(fleet.Engine{ID: id, Pool: "p", Slots: slots})
-		directory.Paced(id, pace)
+		directory.RecordGap(id, pace)
 	}
 	queue := NewQueue(directory)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -44,7 +44,7 @@
 // sent on the returned channel.
 func acquire(queue *Queue, accepted time.Time, events float64, yield func()) <-chan *Slot {
 	assigned := make(chan *Slot, 1)
-	rank := Rank{LatestStart: policy.LatestStart(accepted, events, testPace), MayBeCritical: policy.MayHold(events, testCritical)}
+	rank := Rank{LatestStart: policy.LatestStart(accepted, events, testPace), MayBeCritical: policy.MayBeCritical(events, testCritical)}
 	want := fleet.Want{Pool: "p", Share: 1, Events: events, Since: time.Now()}
 	go func() {
 		slot, _ := queue.Acquire(context.Background(), rank, want, yield)
@@ -176,7 +176,7 @@
 				long := <-acquire(queue, accepted.Add(-5*time.Second), 5, nil)
 				is.Equal(long.Engine.ID, "engine0")
 				rank := Rank{LatestStart: policy.LatestStart(accepted, test.left, testPace), MayBeCritical: test.mayBeCritical}
-				want := fleet.Want{Pool: "p", Share: 1, Events: test.left, Slack: policy.Steady(testPace).Time(test.slack)}
+				want := fleet.Want{Pool: "p", Share: 1, Events: test.left, Slack: policy.ConstantPace(testPace).Time(test.slack)}
 				reservation := queue.Reserve("engine0", rank, want)
 				is.Equal(reservation != nil, test.reserves)
 				is.Equal(yieldRequests.Load() == 1, test.reserves)
--- a/internal/jobrun/runner.go
+++ b/internal/jobrun/runner.go
@@ -274,14 +274,14 @@
 func (r *runner) expectedEvents(estimate, made int) float64 {
 	r.lengthMutex.Lock()
 	defer r.lengthMutex.Unlock()
-	return r.lengths.Left(estimate, made)
+	return r.lengths.Remaining(estimate, made)
 }
 
 // recordLength records the number of events of a complete item.
 func (r *runner) recordLength(estimate, events int) {
 	r.lengthMutex.Lock()
 	defer r.lengthMutex.Unlock()
-	r.lengths.Learn(estimate, events)
+	r.lengths.Observe(estimate, events)
 }
 
 // recordListedLengths records the lengths of a job's items that are listed already: an owner that has just started knows no
--- a/internal/ownership/watch.go
+++ b/internal/ownership/watch.go
@@ -65,7 +65,7 @@
 				"held", m.heldCount.Load())
 			return true
 		}
-		requester.update(ctx, !m.Holds() && policy.AsksFor(group.members, m.config.Share))
+		requester.update(ctx, !m.Holds() && policy.RequestsPartitions(group.members, m.config.Share))
 	}
 }
 
--- a/internal/quarantine/admit.go
+++ b/internal/quarantine/admit.go
@@ -46,9 +46,9 @@
 	crashes := q.crashes(content)
 	access, wait := crashes.Access(strikes, time.Now())
 	switch {
-	case access == policy.AccessFree && crashes.Engines == 0:
+	case access == policy.AccessAllowed && crashes.Engines == 0:
 		return Clear, 0
-	case access == policy.AccessFree:
+	case access == policy.AccessAllowed:
 		return Suspect, 0
 	case q.takeTrial(content):
 		return Suspect, 0
@@ -56,7 +56,7 @@
 		return Suspect, 0
 	case access == policy.AccessTrial:
 		// Another call makes the trial, or it can't be claimed while the store is unavailable.
-		wait = policy.TrialLasts
+		wait = policy.TrialDuration
 	}
 	return Withheld, wait
 }
@@ -66,7 +66,7 @@
 	switch {
 	case crashes.Engines == 0:
 		return Clear
-	case access == policy.AccessFree:
+	case access == policy.AccessAllowed:
 		return Suspect
 	default:
 		return Withheld
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -99,13 +99,13 @@
 	engine := fleet.Engine{ID: engineID, Pool: "p"}
 	m.directory.Upsert(engine)
 	m.world.end(engineID)
-	standing := m.ReportBroken(m.world.ctx, crashing, engine, errConnReset, policy.RequestStrikes)
+	standing := m.ReportBroken(m.world.ctx, crashing, engine, errConnReset, policy.RequestCrashLimit)
 	time.Sleep(20 * time.Millisecond)
 	return standing
 }
 
 func (m *machine) standing(body string) quarantine.Standing {
-	standing, _ := m.Admit(m.world.ctx, call(body), policy.RequestStrikes)
+	standing, _ := m.Admit(m.world.ctx, call(body), policy.RequestCrashLimit)
 	return standing
 }
 
@@ -124,12 +124,12 @@
 		is.Equal(third.standing("y"), quarantine.Clear)
 		other := call("x")
 		other.Tenant = "another"
-		standing, _ := third.Admit(w.ctx, other, policy.RequestStrikes)
+		standing, _ := third.Admit(w.ctx, other, policy.RequestCrashLimit)
 		is.Equal(standing, quarantine.Clear)
-		_, wait := third.Admit(w.ctx, call("x"), policy.RequestStrikes)
+		_, wait := third.Admit(w.ctx, call("x"), policy.RequestCrashLimit)
 		is.True(wait > 0 && wait <= 10*time.Second)
 		// An item of a job is withheld one ended engine later.
-		standing, _ = third.Admit(w.ctx, call("x"), policy.ItemStrikes)
+		standing, _ = third.Admit(w.ctx, call("x"), policy.ItemCrashLimit)
 		is.Equal(standing, quarantine.Suspect)
 	})
 }
@@ -157,14 +157,14 @@
 		for i := range 5 {
 			engine := fleet.Engine{ID: fmt.Sprint("living", i)}
 			m.directory.Upsert(engine)
-			m.ReportBroken(w.ctx, call("x"), engine, errConnReset, policy.RequestStrikes)
+			m.ReportBroken(w.ctx, call("x"), engine, errConnReset, policy.RequestCrashLimit)
 			engine = fleet.Engine{ID: fmt.Sprint("leaving", i), Draining: true}
 			m.directory.Upsert(engine)
 			w.end(engine.ID)
-			m.ReportBroken(w.ctx, call("x"), engine, errConnReset, policy.RequestStrikes)
+			m.ReportBroken(w.ctx, call("x"), engine, errConnReset, policy.RequestCrashLimit)
 			engine = fleet.Engine{ID: fmt.Sprint("unlisted", i)}
 			w.end(engine.ID)
-			m.ReportBroken(w.ctx, call("x"), engine, errConnReset, policy.RequestStrikes)
+			m.ReportBroken(w.ctx, call("x"), engine, errConnReset, policy.RequestCrashLimit)
 			time.Sleep(time.Second)
 		}
 		is.Equal(m.standing("x"), quarantine.Clear)
@@ -481,7 +481,7 @@
 		admitted, appends := 0, w.store.Appends()
 		for range 40 {
 			callers.Go(func() {
-				standing, wait := m.Admit(w.ctx, call("x"), policy.RequestStrikes)
+				standing, wait := m.Admit(w.ctx, call("x"), policy.RequestCrashLimit)
 				mutex.Lock()
 				defer mutex.Unlock()
 				if standing != quarantine.Withheld {
--- a/internal/replica/records.go
+++ b/internal/replica/records.go
@@ -192,7 +192,7 @@
 func (a *engineApplier) Advanced(end int64) {
 	a.changes.write(a.logger)
 	a.list.OwnRecordsReadTo(end)
-	a.directory.SetKnown()
+	a.directory.SetSynced()
 }
 
 // stop cancels the pending removals of engines.
--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -143,7 +143,7 @@
 // check sends the pending orders. It returns false at the end of the tenure.
 func (t *term) check(ctx context.Context) bool {
 	current := t.config.Catalog.Current()
-	if current == nil || !t.config.Directory.Known() || t.config.Directory.Partial() {
+	if current == nil || !t.config.Directory.Synced() || t.config.Directory.Partial() {
 		return true
 	}
 	var pending []Order
--- a/internal/scaler/scaler_test.go
+++ b/internal/scaler/scaler_test.go
@@ -99,7 +99,7 @@
 			env.directory.Upsert(fleet.Engine{ID: fmt.Sprint(zone, i), Pool: poolName, Zone: zone, Slots: 6})
 		}
 	}
-	env.directory.SetKnown()
+	env.directory.SetSynced()
 	return env
 }
 
--- a/internal/weightroll/board.go
+++ b/internal/weightroll/board.go
@@ -102,7 +102,7 @@
 	until := t.announcedBefore(received).Add(t.expectedLoadTime())
 	t.mutex.Unlock()
 	if order.Serving {
-		t.directory.SetServes(order.EngineID, order.Model, order.Version)
+		t.directory.SetServedVersion(order.EngineID, order.Model, order.Version)
 	} else {
 		t.directory.SetLoading(order.EngineID, order.Model, until)
 	}
@@ -118,7 +118,7 @@
 		t.skipped++
 		return err
 	}
-	t.directory.SetDealt(record.Pool, record.assignment())
+	t.directory.SetAssignedModels(record.Pool, record.assignment())
 	return nil
 }
 
--- a/internal/weightroll/order.go
+++ b/internal/weightroll/order.go
@@ -115,7 +115,7 @@
 		wait = pollInterval
 		if current, ok := r.config.Directory.Engine(step.Engine.ID); !ok || current.Draining || current.Restarted(step.Engine) {
 			return false
-		} else if current.Serves(step.Model) >= step.Version {
+		} else if current.ServedVersion(step.Model) >= step.Version {
 			return true
 		}
 		report, err := r.report(ctx, step.Engine)
@@ -158,7 +158,7 @@
 // announceServing announces to all nodes that the engine serves the version. It does not block: the next order need not
 // wait for the announcement.
 func (r *roller) announceServing(ctx context.Context, pool string, step Step) {
-	r.config.Directory.SetServes(step.Engine.ID, step.Model, step.Version)
+	r.config.Directory.SetServedVersion(step.Engine.ID, step.Model, step.Version)
 	r.active.Go(func() {
 		if _, err := r.announce(ctx, pool, step, true); err != nil && ctx.Err() == nil {
 			errorlog.Warn(r.config.Logger, "failed to announce the served version", err, "engine", step.Engine.ID)
--- a/internal/weightroll/plan.go
+++ b/internal/weightroll/plan.go
@@ -137,7 +137,7 @@
 	return slices.MinFunc(models, func(a, b string) int {
 		return cmp.Or(
 			cmp.Compare(missing[b], missing[a]),
-			cmp.Compare(targets[a]-engine.Serves(a), targets[b]-engine.Serves(b)),
+			cmp.Compare(targets[a]-engine.ServedVersion(a), targets[b]-engine.ServedVersion(b)),
 			strings.Compare(a, b),
 		)
 	})
@@ -172,7 +172,7 @@
 		if !assigned || engine.Draining {
 			continue
 		}
-		if engine.Serves(model) >= input.Targets[model] {
+		if engine.ServedVersion(model) >= input.Targets[model] {
 			upToDate[model]++
 			continue
 		}
@@ -210,7 +210,7 @@
 
 // gap returns by how many versions the engine is behind.
 func (s rankedStep) gap() int64 {
-	return s.Version - s.Engine.Serves(s.Model)
+	return s.Version - s.Engine.ServedVersion(s.Model)
 }
 
 // less compares the loading and the up-to-date engines of two models as fractions of the models' engines, then how far
--- a/internal/weightroll/plan_test.go
+++ b/internal/weightroll/plan_test.go
@@ -161,7 +161,7 @@
 	targets := map[string]int64{"large": 2, "middle": 2, "small": 2}
 	loads := []policy.StepLoad{{Work: 12 * time.Second}, {Work: 11 * time.Second}, {Work: 8 * time.Second}}
 	share := func(engines int) map[string]int {
-		assigned := policy.Deal(engines, 8, loads)
+		assigned := policy.AssignEngines(engines, 8, loads)
 		return map[string]int{"large": assigned[0], "middle": assigned[1], "small": assigned[2]}
 	}
 	nine := engines(9, nil)
--- a/internal/weightroll/share.go
+++ b/internal/weightroll/share.go
@@ -34,7 +34,7 @@
 	previous, known := r.assignments[pool]
 	if !known {
 		// A successor continues with the assignment of its predecessor.
-		previous = r.config.Directory.Dealt(pool)
+		previous = r.config.Directory.AssignedModels(pool)
 	}
 	if r.config.Directory.Partial() || r.config.JobsKnown != nil && !r.config.JobsKnown() {
 		// Assigned engines that are not known yet would be replaced, each at the cost of a load, while the known ones
@@ -48,7 +48,7 @@
 		if _, loading := r.loading[pool][engine.ID]; loading {
 			return true
 		}
-		return targets[model] > 0 && engine.Serves(model) >= targets[model]
+		return targets[model] > 0 && engine.ServedVersion(model) >= targets[model]
 	})
 	assignment, swapped := r.balance(pool, assignment, engines, shares)
 	if !maps.Equal(assignment, previous) {
@@ -118,9 +118,9 @@
 	}
 	perEngine := float64(slots) / float64(max(1, len(engines)))
 	kept := policy.EnginesKept(perEngine, loads, len(engines), total)
-	proposed := policy.Deal(kept, perEngine, loads)
+	proposed := policy.AssignEngines(kept, perEngine, loads)
 	unchanged := len(r.shares[pool]) == len(models) && total == kept
-	if unchanged && !policy.WorthDealing(current, proposed, perEngine, loads, r.typicalLoad) {
+	if unchanged && !policy.WorthReassigning(current, proposed, perEngine, loads, r.typicalLoad) {
 		return r.shares[pool]
 	}
 	shares := make(map[string]int, len(models))
--- a/internal/weightroll/share_test.go
+++ b/internal/weightroll/share_test.go
@@ -32,7 +32,7 @@
 
 // assignment returns the assignment of the pool that the node has read.
 func (n *node) assignment() Assignment {
-	return n.holder.config.Directory.Dealt(poolName)
+	return n.holder.config.Directory.AssignedModels(poolName)
 }
 
 // TestAllProcessesLearnTheAssignment checks that every process reads the newest assignment of a pool, and that a
--- a/internal/weightroll/size_test.go
+++ b/internal/weightroll/size_test.go
@@ -39,7 +39,7 @@
 	version := int64(1)
 	for b.Loop() {
 		version++
-		directory.SetServes(ids[version%7777], "model1", version)
+		directory.SetServedVersion(ids[version%7777], "model1", version)
 		engines := candidateEngines(directory.Pool("p"), previous, shares)
 		previous = Assign(engines, targets, previous, shares, pinned)
 		Plan(PlanInput{Engines: engines, Targets: targets, Assignment: previous, MaxLoads: 600})
@@ -54,7 +54,7 @@
 	for i := range 720 {
 		assigned[ids[i]] = fmt.Sprint("model", i%8)
 	}
-	directory.SetDealt("p", assigned)
+	directory.SetAssignedModels("p", assigned)
 	want := fleet.Want{Pool: "p", Model: "model1", MinVersion: 1, Share: 1, Events: 10, Zone: "zone-1", Affinity: "x", Since: time.Now()}
 	for b.Loop() {
 		for _, engine := range directory.Assign([]fleet.Want{want}) {
@@ -115,7 +115,7 @@
 		for _, engine := range []fleet.Engine{env.pool[0], env.pool[1], env.pool[6], env.pool[7]} {
 			assigned[engine.ID] = model
 		}
-		directory.SetDealt(poolName, assigned)
+		directory.SetAssignedModels(poolName, assigned)
 		directory.SetPartial(true)
 		for _, engine := range env.pool[4:] {
 			directory.Remove(engine.ID)
@@ -145,7 +145,7 @@
 		var known atomic.Bool
 		next.holder.config.JobsKnown = known.Load
 		assigned := Assignment{env.pool[0].ID: model, env.pool[6].ID: model}
-		next.holder.config.Directory.SetDealt(poolName, assigned)
+		next.holder.config.Directory.SetAssignedModels(poolName, assigned)
 		next.becomeOwner(1)
 		next.catalog.SetVersion(model, 2)
 		time.Sleep(4 * loadTime)
