--- a/internal/stepledger/assign/assign.go
+++ b/internal/stepledger/assign/assign.go
@@ -1,5 +1,5 @@
-// Package assign decides which waiting samples an engine takes. It is pure: a snapshot goes in, decisions come out; it
-// reads no clock and does no I/O.
+// Package assign decides which waiting samples are assigned to an engine. Decisions depend on the given snapshot only; the
+// package reads no clock and does no I/O.
 package assign
 
 import (
@@ -14,67 +14,69 @@
 	Index int
 	// Predicted is the expected length of the whole answer in tokens.
 	Predicted int
-	// Sibling counts the samples of the same prompt that come before this one.
+	// Sibling is the number of the sample within its prompt, from 0.
 	Sibling int
 }
 
 // Step is the waiting samples of one step.
 type Step struct {
 	Number uint64
-	// Ahead is how many steps the trainer is expected to finish before it takes this one. One version is expected to be
-	// published per step.
-	Ahead int
-	// Distance is the same, but takes a step that was handed over as not finished, since the trainer may train on it still.
-	// Ahead decides what may turn out of bound, Distance what is begun by choice.
-	Distance int
+	// MinStepsAhead is the number of steps that the trainer is expected to finish before it starts this one, with steps that
+	// were handed over whole counted as finished. The staleness check is based on it, since the trainer is expected to
+	// publish one version per step.
+	MinStepsAhead int
+	// MaxStepsAhead is the same number with steps that were handed over counted as unfinished, since the trainer may still be
+	// training on them. The look-ahead is based on it.
+	MaxStepsAhead int
 	// Samples counts all samples of the step, waiting or not.
 	Samples    int
 	Candidates []Candidate
 }
 
-// Snapshot is all that a decision depends on.
+// Snapshot is the input of a decision.
 type Snapshot struct {
-	// ServedVersion is the version that the engine's new tokens come from.
+	// ServedVersion is the weight version with which the engine generates new tokens.
 	ServedVersion uint64
 	// Latest is the newest version published.
 	Latest uint64
-	// MinVersion and MaxVersion bound the versions that could be delivered now; MaxVersion 0 is no bound.
+	// MinVersion and MaxVersion limit the versions that may be delivered now; MaxVersion 0 means no limit.
 	MinVersion uint64
 	MaxVersion uint64
-	// MaxVersionsBehind bounds the trainer's version minus the sample's at delivery; it counts when Bounded.
+	// MaxVersionsBehind limits the trainer's version minus the sample's version at delivery. It applies if Bounded is set.
 	MaxVersionsBehind uint64
 	Bounded           bool
-	// FreeSlots is how many samples the engine can take.
+	// FreeSlots is the number of samples that the engine can accept.
 	FreeSlots int
-	// LookAhead bounds how far ahead of the trainer samples are begun; it counts when AheadBounded.
+	// LookAhead limits how far ahead of the trainer samples are started. It applies if AheadBounded is set.
 	LookAhead    policy.LookAhead
 	AheadBounded bool
-	// PositionUnknown says that the trainer was not seen yet; it may be one step before the first.
+	// PositionUnknown is set until the trainer's first fetch or the first assigned position. The trainer may then be one step
+	// before the oldest open step.
 	PositionUnknown bool
-	// LongTokens is the length from which on a sample counts as long.
+	// LongTokens is the min length, in tokens, of a long sample.
 	LongTokens int
-	// FreshOnly gives samples to engines with the newest version within the bounds only.
+	// FreshOnly restricts assignment to engines that serve the newest version within the limits.
 	FreshOnly bool
-	// ArrivalOrder takes samples by index, whatever their predicted length.
+	// ArrivalOrder assigns the samples of a step by index and ignores their predicted lengths.
 	ArrivalOrder bool
-	// InFlight is how many samples run now, and MaxInFlight bounds them; 0 is no bound.
+	// InFlight is the number of running samples and MaxInFlight its limit; 0 means no limit.
 	InFlight    int
 	MaxInFlight int
 	Steps       []Step
 }
 
-// Choice is one sample for the engine.
+// Choice is a sample chosen for the engine.
 type Choice struct {
 	Step  uint64
 	Index int
 }
 
-// Decide chooses samples for the engine: older steps first, within a step the longest predicted first (so that the step's
-// last samples are short ones), then the lowest index. An engine whose version is out of bound gets none, and a step so
-// far ahead that the engine's version would be out of bound when it is delivered gives none.
+// Decide chooses samples for the engine: those of older steps first, within a step those with the longest predicted answer
+// (so that the last samples of the step are short), then by index. It returns none if the engine's version is out of
+// bounds, and skips steps so far ahead that the engine's version is expected to be out of bounds at their delivery.
 func Decide(snapshot Snapshot) []Choice {
-	room := snapshot.room()
-	if room <= 0 || !snapshot.accepts() || !snapshot.fresh() {
+	capacity := snapshot.capacity()
+	if capacity <= 0 || !snapshot.acceptsVersion() || !snapshot.freshEnough() {
 		return nil
 	}
 	steps := slices.SortedFunc(slices.Values(snapshot.Steps), func(a, b Step) int {
@@ -85,18 +87,19 @@
 		if !snapshot.inBoundWhenDelivered(step) {
 			continue
 		}
-		for _, candidate := range snapshot.order(snapshot.Startable(step), room-len(choices)) {
+		for _, candidate := range snapshot.selectCandidates(snapshot.Startable(step), capacity-len(choices)) {
 			choices = append(choices, Choice{Step: step.Number, Index: candidate.Index})
 		}
 	}
 	return choices
 }
 
-// Startable lists the samples of a step that may be begun, whatever the engine: all within the look-ahead, a part of those
-// of the step after it. That part begins with one sample of each prompt, which shows how long its siblings will be, and
-// goes on with those predicted long, because these are what the trainer would wait for.
+// Startable returns the samples of a step that may be started on any engine: all of a step within the look-ahead, a
+// fraction of the step after it, and none of later steps. The fraction is limited to the first sample of each prompt, whose
+// length predicts those of its siblings, and to samples predicted to be long, because the trainer would wait for these.
+// The longest of them come first.
 func (s Snapshot) Startable(step Step) []Candidate {
-	ahead := step.Distance
+	ahead := step.MaxStepsAhead
 	if s.PositionUnknown {
 		ahead++
 	}
@@ -106,27 +109,28 @@
 	case ahead > s.LookAhead.Steps+1 || s.LookAhead.Part <= 0:
 		return nil
 	}
-	begun := step.Samples - len(step.Candidates)
-	allowed := int(s.LookAhead.Part*float64(step.Samples)) - begun
-	var telling []Candidate
+	started := step.Samples - len(step.Candidates)
+	allowed := int(s.LookAhead.Part*float64(step.Samples)) - started
+	var eligible []Candidate
 	for _, candidate := range step.Candidates {
 		if candidate.Sibling == 0 || candidate.Predicted >= s.LongTokens {
-			telling = append(telling, candidate)
+			eligible = append(eligible, candidate)
 		}
 	}
-	return longest(telling, max(allowed, 0))
+	return longest(eligible, max(allowed, 0))
 }
 
-// order returns the first count candidates to take.
-func (s Snapshot) order(candidates []Candidate, count int) []Candidate {
+// selectCandidates returns at most count candidates, in the order in which they are assigned.
+func (s Snapshot) selectCandidates(candidates []Candidate, count int) []Candidate {
 	if s.ArrivalOrder {
 		return candidates[:min(count, len(candidates))]
 	}
 	return longest(candidates, count)
 }
 
-// fresh reports whether the engine's version is as new as the workload wants it. Nothing newer than MaxVersion is loaded.
-func (s Snapshot) fresh() bool {
+// freshEnough reports whether the engine's version is as new as the workload requires. Engines load no version above
+// MaxVersion, so the newest version is capped by it.
+func (s Snapshot) freshEnough() bool {
 	newest := s.Latest
 	if s.MaxVersion > 0 {
 		newest = min(newest, s.MaxVersion)
@@ -134,30 +138,31 @@
 	return !s.FreshOnly || s.ServedVersion >= newest
 }
 
-// room is how many samples the engine may take.
-func (s Snapshot) room() int {
+// capacity returns the number of samples that may be assigned to the engine.
+func (s Snapshot) capacity() int {
 	if s.MaxInFlight <= 0 {
 		return s.FreeSlots
 	}
 	return min(s.FreeSlots, s.MaxInFlight-s.InFlight)
 }
 
-// accepts reports whether the engine's tokens could be delivered now.
-func (s Snapshot) accepts() bool {
+// acceptsVersion reports whether tokens of the engine's version may be delivered now.
+func (s Snapshot) acceptsVersion() bool {
 	return s.ServedVersion >= s.MinVersion && (s.MaxVersion == 0 || s.ServedVersion <= s.MaxVersion)
 }
 
-// inBoundWhenDelivered reports whether the engine's tokens are expected to be in bound when the trainer takes the step.
+// inBoundWhenDelivered reports whether the engine's version is expected to be within MaxVersionsBehind when the trainer
+// starts the step.
 func (s Snapshot) inBoundWhenDelivered(step Step) bool {
-	if !s.Bounded || step.Ahead == 0 {
+	if !s.Bounded || step.MinStepsAhead == 0 {
 		return true
 	}
-	expected := s.Latest + uint64(step.Ahead)
+	expected := s.Latest + uint64(step.MinStepsAhead)
 	return expected <= s.ServedVersion+s.MaxVersionsBehind
 }
 
-// longest returns the first count candidates by falling prediction, then by index. It keeps them ordered in one pass, since
-// few of many are wanted.
+// longest returns the first count candidates in the order of compare. It inserts them into a sorted slice of that size,
+// since count is usually small compared with the number of candidates.
 func longest(candidates []Candidate, count int) []Candidate {
 	kept := make([]Candidate, 0, min(count, len(candidates))+1)
 	for _, candidate := range candidates {
@@ -171,8 +176,8 @@
 	return kept
 }
 
-// compare orders candidates by falling prediction. Among equals one sample of each prompt goes before the second of any,
-// because its length tells about those of its siblings; then the index decides.
+// compare orders candidates by descending predicted length, then by number within the prompt, then by index. One sample of
+// each prompt thus precedes the second sample of any prompt, because its length predicts those of its siblings.
 func compare(a, b Candidate) int {
 	if order := cmp.Compare(b.Predicted, a.Predicted); order != 0 {
 		return order
--- a/internal/stepledger/assign/assign_test.go
+++ b/internal/stepledger/assign/assign_test.go
@@ -8,7 +8,7 @@
 
 func TestDecide(t *testing.T) {
 	steps := []Step{
-		{Number: 4, Ahead: 2, Distance: 2, Samples: 1, Candidates: []Candidate{{Index: 0, Predicted: 99}}},
+		{Number: 4, MinStepsAhead: 2, MaxStepsAhead: 2, Samples: 1, Candidates: []Candidate{{Index: 0, Predicted: 99}}},
 		{Number: 2, Samples: 3, Candidates: []Candidate{{Index: 0, Predicted: 5}, {Index: 1, Predicted: 9}, {Index: 2, Predicted: 9}}},
 	}
 	cases := []struct {
@@ -48,7 +48,7 @@
 	for range historySize {
 		history.Add(100)
 	}
-	is.Equal(history.Mean(), 100) // the old ones are gone
+	is.Equal(history.Mean(), 100) // the first lengths were overwritten
 	is.Equal(Predict(Siblings{}, 100, 500), 100)
 	is.Equal(Predict(Siblings{Finished: 3, Tokens: 900}, 100, 500), 250)
 	is.Equal(Predict(Siblings{Finished: 3, Tokens: 900, LongestRunning: 400}, 100, 500), 400)
--- a/internal/stepledger/assign/predict.go
+++ b/internal/stepledger/assign/predict.go
@@ -1,12 +1,12 @@
 package assign
 
-// historySize is how many answer lengths a History remembers.
+// historySize is the number of answer lengths that a History keeps.
 const historySize = 512
 
-// defaultTokens is the prediction before any answer is known.
+// defaultTokens is the mean length, in tokens, assumed for an empty History.
 const defaultTokens = 256
 
-// History remembers the lengths of a workload's recent answers. The zero value is empty.
+// History keeps the lengths of a workload's most recent answers. The zero value is an empty history.
 type History struct {
 	lengths [historySize]int
 	next    int
@@ -14,7 +14,7 @@
 	sum     int
 }
 
-// Add records the length of one answer in tokens.
+// Add records the length of an answer in tokens.
 func (h *History) Add(tokens int) {
 	if h.count == historySize {
 		h.sum -= h.lengths[h.next]
@@ -26,7 +26,7 @@
 	h.next = (h.next + 1) % historySize
 }
 
-// Mean is the mean of the lengths remembered.
+// Mean returns the mean of the recorded lengths in tokens.
 func (h *History) Mean() int {
 	if h.count == 0 {
 		return defaultTokens
@@ -34,18 +34,18 @@
 	return h.sum / h.count
 }
 
-// Siblings is what is known of the other samples of a prompt.
+// Siblings summarizes the other samples of a prompt.
 type Siblings struct {
-	// Finished counts whole answers and Tokens is the sum of their lengths.
+	// Finished is the number of complete answers and Tokens the sum of their lengths.
 	Finished int
 	Tokens   int
-	// LongestRunning is the most tokens that an unfinished sibling has so far.
+	// LongestRunning is the max number of tokens that an unfinished sibling has so far.
 	LongestRunning int
 }
 
-// Predict is the expected length of a whole answer, at least 1 and at most maxTokens: the mean over the prompt's finished
-// samples and one sample of the workload's mean. A sibling that is still running shows that the prompt allows at least
-// its length.
+// Predict returns the expected length of a complete answer, from 1 to maxTokens: the mean over the prompt's finished
+// samples and one more sample of the workload's mean length. The prediction is at least the length that a running sibling
+// has reached.
 func Predict(siblings Siblings, workloadMean, maxTokens int) int {
 	predicted := (siblings.Tokens + workloadMean) / (siblings.Finished + 1)
 	predicted = max(predicted, siblings.LongestRunning, 1)
--- a/internal/stepledger/assign/startable_test.go
+++ b/internal/stepledger/assign/startable_test.go
@@ -8,8 +8,8 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-func TestStartableIsAPartOfTheStepAfterTheLookAhead(t *testing.T) {
-	// Eight samples of two prompts: the first of each is the one that tells.
+func TestStartableLimitsStepAfterLookAhead(t *testing.T) {
+	// A step of eight samples of two prompts, of which two are started. The first sample of each prompt is always eligible.
 	waiting := []Candidate{
 		{Index: 0}, {Index: 1, Sibling: 1}, {Index: 2, Sibling: 2},
 		{Index: 4, Predicted: 90}, {Index: 5, Sibling: 1, Predicted: 90}, {Index: 6, Sibling: 2, Predicted: 90},
@@ -20,12 +20,12 @@
 		depth    float64
 		want     int
 	}{
-		{"wanted now", 0, 0, 6},
+		{"step of the trainer", 0, 0, 6},
 		{"ahead without look-ahead", 1, 0, 0},
 		{"within the look-ahead", 1, 1, 6},
-		{"part: those that tell and the long, less the two begun", 1, 0.75, 4},
+		{"part: first samples and long ones, less the two started", 1, 0.75, 4},
 		{"a smaller part", 1, 0.5, 2},
-		{"a part that has been begun", 1, 0.25, 0},
+		{"a part that is already started", 1, 0.25, 0},
 		{"part of the second step ahead", 2, 1.5, 2},
 		{"beyond the part", 2, 0.75, 0},
 	}
@@ -33,16 +33,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			snapshot := Snapshot{AheadBounded: true, LookAhead: policy.LookAheadOf(c.depth), LongTokens: 50}
-			startable := snapshot.Startable(Step{Number: 2, Distance: c.distance, Samples: 8, Candidates: waiting})
+			startable := snapshot.Startable(Step{Number: 2, MaxStepsAhead: c.distance, Samples: 8, Candidates: waiting})
 			is.Equal(len(startable), c.want)
 			if c.want == 2 {
-				is.Equal(startable[0].Index, 4) // the longest first
+				is.Equal(startable[0].Index, 4) // the longest predicted answer comes first
 			}
 		})
 	}
 }
 
-func TestFreshOnlyKeepsSamplesFromOldEngines(t *testing.T) {
+func TestFreshOnlySkipsOutdatedEngines(t *testing.T) {
 	is := is.New(t)
 	snapshot := Snapshot{
 		FreshOnly: true, Latest: 3, ServedVersion: 2, FreeSlots: 1,
--- a/internal/stepledger/bench_test.go
+++ b/internal/stepledger/bench_test.go
@@ -17,7 +17,8 @@
 	benchSamples    = 2048
 )
 
-// benchService is a service over the real shard manager and a log in memory, with steps of 2,048 samples as asked for.
+// benchService returns a service over the real shard manager and an in-memory log, with the given number of steps of 2,048
+// samples.
 func benchService(b *testing.B, steps int) (*Service, *logservice.Service) {
 	workload := testWorkload()
 	workload.Limits.MaxTokens = benchTokens
@@ -25,13 +26,13 @@
 	workload.Limits.MaxStepSamples = benchSamples
 	workload.Staleness.MaxAge = 0
 	log := logservice.New(logservice.Config{})
-	service, manager := newManaged("a", log, newBundles(workload), 0)
+	service, manager := newManagedService("a", log, newBundles(workload), 0)
 	b.Cleanup(func() {
 		service.Close()
 		manager.Close()
 	})
 	for step := range steps {
-		request := &peerapi.SubmitStep{Workload: testName, Step: uint64(2 * step), SamplesPerPrompt: 8, MaxTokens: benchTokens}
+		request := &peerapi.SubmitStep{Workload: testWorkloadName, Step: uint64(2 * step), SamplesPerPrompt: 8, MaxTokens: benchTokens}
 		for range benchSamples / 8 {
 			request.Prompts = append(request.Prompts, randomTokens(200))
 		}
@@ -50,10 +51,10 @@
 	return tokens
 }
 
-// BenchmarkCompleteSample commits samples of 500 tokens from many dispatchers at once.
+// BenchmarkCompleteSample records answers of 500 tokens from many concurrent dispatchers.
 func BenchmarkCompleteSample(b *testing.B) {
 	service, log := benchService(b, b.N/benchSamples+1)
-	stream := StreamName(testName, 0)
+	stream := StreamName(testWorkloadName, 0)
 	before := log.Usage()[stream].Bytes
 	tokens := randomTokens(benchTokens)
 	var next atomic.Int64
@@ -63,7 +64,7 @@
 		for worker.Next() {
 			number := int(next.Add(1) - 1)
 			result, err := service.CompleteSample(context.Background(), &peerapi.CompleteSample{
-				Workload: testName, Step: uint64(number / benchSamples * 2), Index: number % benchSamples, Attempt: 1, Tokens: tokens,
+				Workload: testWorkloadName, Step: uint64(number / benchSamples * 2), Index: number % benchSamples, Attempt: 1, Tokens: tokens,
 				Spans: []peerapi.Span{{To: benchTokens, Version: 1}}, CompletedUnixMillis: time.Now().UnixMilli(),
 			})
 			if err != nil || result.Outcome != peerapi.CompleteRecorded {
@@ -77,19 +78,19 @@
 	b.ReportMetric(float64(log.Usage()[stream+".snapshots"].Bytes)/float64(b.N), "snapshot-B/sample")
 }
 
-// BenchmarkPullWork gives 8 of 2,048 waiting samples to an engine, which gives them back.
+// BenchmarkPullWork assigns 8 of 2,048 waiting samples to an engine and removes their attempts again.
 func BenchmarkPullWork(b *testing.B) {
 	service, _ := benchService(b, 1)
 	for b.Loop() {
 		result, err := service.PullWork(context.Background(), &peerapi.PullWork{
-			Workload: testName, Engine: "e1", ServedVersion: 1, FreeSlots: 8,
+			Workload: testWorkloadName, Engine: "e1", ServedVersion: 1, FreeSlots: 8,
 		})
 		if err != nil || len(result.Assignments) != 8 {
 			b.Fatalf("%v %v", result, err)
 		}
-		current := service.sessions[StreamName(testName, 0)]
+		current := service.sessions[StreamName(testWorkloadName, 0)]
 		for _, assignment := range result.Assignments {
-			current.forget(sampleKey{step: 0, index: assignment.Index})
+			current.forgetSample(sampleKey{step: 0, index: assignment.Index})
 		}
 	}
 }
--- a/internal/stepledger/complete.go
+++ b/internal/stepledger/complete.go
@@ -9,20 +9,20 @@
 	"github.com/hillfork/hillfork/internal/peerapi"
 )
 
-// CompleteSample records a whole answer; it is durable when the answer is sent. The first valid answer of a sample wins,
-// whichever attempt it is from. Spans that do not name a version for each token are CodeInvalid.
+// CompleteSample records a complete answer, which is durable when the call returns. The first valid answer to a sample is
+// recorded, whichever attempt it is from. Spans that do not cover every token are refused with CodeInvalid.
 func (s *Service) CompleteSample(ctx context.Context, request *peerapi.CompleteSample) (*peerapi.CompleteSampleResult, error) {
 	workload, err := s.workload(request.Workload)
 	if err != nil {
 		return nil, err
 	}
-	current, err := s.open(ctx, request.Workload, ShardOf(request.Step))
+	current, err := s.openSession(ctx, request.Workload, ShardOf(request.Step))
 	if err != nil {
 		return nil, err
 	}
 	key := sampleKey{step: request.Step, index: request.Index}
 	spans := recordSpans(request.Spans)
-	// A clock ahead of this one must not make an answer look younger than it is.
+	// The time is capped so that an engine whose clock is ahead does not extend the max age of its answers.
 	completed := min(request.CompletedUnixMillis, time.Now().UnixMilli())
 	found, waiting, maxTokens := false, false, 0
 	var limits bounds
@@ -40,21 +40,21 @@
 		maxTokens = step.MaxTokens
 	})
 	if !found {
-		current.forget(key)
+		current.forgetSample(key)
 		return &peerapi.CompleteSampleResult{Outcome: peerapi.CompleteUnknownSample}, nil
 	}
 	if !waiting {
 		s.counters.Duplicates.Add(1)
-		current.ready.raise() // the answer may be in the log since a call that did not learn of it
+		current.ready.notify() // an earlier call may have written the answer and failed before it could notify waiters
 		return &peerapi.CompleteSampleResult{Outcome: peerapi.CompleteDuplicate}, nil
 	}
 	if len(request.Tokens) > maxTokens || !spansCover(spans, len(request.Tokens)) {
-		current.requeue(key, request.Attempt)
+		current.requeueSample(key, request.Attempt)
 		return nil, refuse(peer.CodeInvalid, "answer is empty or too long, or its spans do not cover it")
 	}
 	if !limits.acceptsSpans(spans) || !limits.acceptsAge(completed, time.Now()) {
 		s.counters.Stale.Add(1)
-		current.requeue(key, request.Attempt)
+		current.requeueSample(key, request.Attempt)
 		return &peerapi.CompleteSampleResult{Outcome: peerapi.CompleteStale}, nil
 	}
 	record := &SampleCompleted{
@@ -67,21 +67,21 @@
 		Spans:               spans,
 		CompletedUnixMillis: completed,
 	}
-	return current.commit(ctx, key, record, len(request.Tokens))
+	return current.commitCompletion(ctx, key, record, len(request.Tokens))
 }
 
-// commit writes a completion and tells what became of it.
-func (c *session) commit(ctx context.Context, key sampleKey, record *SampleCompleted, tokens int) (*peerapi.CompleteSampleResult, error) {
-	c.service.reach("complete.before_append")
+// commitCompletion writes a completion record and returns its outcome.
+func (c *session) commitCompletion(ctx context.Context, key sampleKey, record *SampleCompleted, tokens int) (*peerapi.CompleteSampleResult, error) {
+	c.service.runFailpoint("complete.before_append")
 	outcomes, err := c.append(ctx, proposal(KindSampleCompleted, record))
 	if err != nil {
 		return nil, err
 	}
-	c.service.reach("complete.after_append")
+	c.service.runFailpoint("complete.after_append")
 	switch outcomes[0] {
 	case OutcomeRecorded:
 		c.service.counters.Completed.Add(1)
-		c.finished(key, tokens)
+		c.sampleCompleted(key, tokens)
 		return &peerapi.CompleteSampleResult{Outcome: peerapi.CompleteRecorded}, nil
 	case OutcomeDuplicate:
 		c.service.counters.Duplicates.Add(1)
@@ -93,25 +93,25 @@
 	}
 }
 
-// finished drops the volatile state of a completed sample and wakes those who wait for it.
-func (c *session) finished(key sampleKey, tokens int) {
+// sampleCompleted removes the volatile state of a completed sample and notifies waiting fetches and the scoring.
+func (c *session) sampleCompleted(key sampleKey, tokens int) {
 	c.mutex.Lock()
-	c.drop(key)
+	c.dropAttempts(key)
 	c.history.Add(tokens)
 	c.mutex.Unlock()
-	c.ready.raise()
-	c.lookForUnscored()
+	c.ready.notify()
+	c.wakeScoring()
 }
 
-// lookForUnscored makes the scoring look for answers without a score.
-func (c *session) lookForUnscored() {
+// wakeScoring makes the scoring check for answers without a reward. It never blocks.
+func (c *session) wakeScoring() {
 	select {
-	case c.unscored <- struct{}{}:
+	case c.scoreWakeup <- struct{}{}:
 	default:
 	}
 }
 
-// recordSpans turns spans of a message into those of a record; neighbours of one version become one.
+// recordSpans converts spans of a message to those of a record and merges adjacent spans of the same version.
 func recordSpans(spans []peerapi.Span) []VersionSpan {
 	var result []VersionSpan
 	for _, span := range spans {
@@ -125,7 +125,7 @@
 	return result
 }
 
-// messageSpans turns spans of a record into those of a message.
+// messageSpans converts spans of a record to those of a message.
 func messageSpans(spans []VersionSpan) []peerapi.Span {
 	result := make([]peerapi.Span, len(spans))
 	for i, span := range spans {
--- a/internal/stepledger/counters.go
+++ b/internal/stepledger/counters.go
@@ -6,38 +6,40 @@
 	"github.com/hillfork/hillfork/internal/metric"
 )
 
-// Counters counts the work of a Service since its start. All fields are safe for concurrent use.
+// Counters counts the operations of a Service since its start. All fields are safe for concurrent use.
 type Counters struct {
-	// Steps counts submissions acknowledged, repeats included, Assigned attempts given out, and Resumed those of them that go on from a partial answer.
+	// Steps counts acknowledged submissions including repeated ones, Assigned the attempts assigned to engines, and Resumed
+	// those of them that continue a partial answer.
 	Steps    atomic.Uint64
 	Assigned atomic.Uint64
 	Resumed  atomic.Uint64
-	// Completed counts answers recorded. Duplicates and Stale are answers that came too late or were over the bound.
+	// Completed counts recorded answers, Duplicates answers to samples that were complete already, and Stale answers that
+	// were over the staleness bound on arrival.
 	Completed  atomic.Uint64
 	Duplicates atomic.Uint64
 	Stale      atomic.Uint64
-	// Failed counts attempts handed back, Silent those given up for want of reports, and Cancelled those that engines were
-	// told to stop.
+	// Failed counts attempts that engines returned, Silent attempts that timed out without a report, and Cancelled attempts
+	// that engines were requested to stop.
 	Failed    atomic.Uint64
 	Silent    atomic.Uint64
 	Cancelled atomic.Uint64
-	// Adopted counts attempts of an earlier owner that were taken over.
+	// Adopted counts attempts that an earlier owner assigned and this owner continued.
 	Adopted atomic.Uint64
-	// Replaced counts recorded answers that passed the bound before they were handed over.
+	// Replaced counts recorded answers that exceeded the staleness bound before they were handed over.
 	Replaced atomic.Uint64
-	// Scored counts rewards recorded, and ScoreErrors tries that failed.
+	// Scored counts recorded rewards, and ScoreErrors failed calls to the scorer.
 	Scored      atomic.Uint64
 	ScoreErrors atomic.Uint64
-	// HandedOver counts samples in answers to trainers, repeats included.
+	// HandedOver counts samples in responses to trainers, including repeated ones.
 	HandedOver atomic.Uint64
 }
 
-// Counters counts the work of this service.
+// Counters returns the counters of the service.
 func (s *Service) Counters() *Counters {
 	return &s.counters
 }
 
-// Metrics returns the counters as they stand.
+// Metrics returns the current values of the counters.
 func (c *Counters) Metrics() []metric.Metric {
 	return metric.Read([]metric.Counter{
 		{Value: &c.Steps, Name: "submissions_total", Help: "Submissions of steps acknowledged, repeats included."},
--- a/internal/stepledger/crash_test.go
+++ b/internal/stepledger/crash_test.go
@@ -13,31 +13,31 @@
 	"github.com/hillfork/hillfork/internal/peerapi"
 )
 
-// crashRun plays one scenario in which the owner dies at chosen events. Events are: before a record is written, after it,
-// and each failpoint.
+// crashRun runs one scenario in which the owner crashes at given events. Events are the times before and after each record
+// is written, and each failpoint.
 type crashRun struct {
-	*world
+	*testEnv
 	is *is.I
 
 	mutex   sync.Mutex
 	events  int
 	crashAt []int
-	// pause makes the owner lose the shard at a failpoint of a fetch and go on unaware, instead of dying.
-	pause   bool
-	crashed bool
-	fired   int
-	pausing bool
-
-	cursor int
-	seen   map[int]bool
-	last   map[int]peerapi.DeliveredSample
+	// pause makes the owner lose the shard at a failpoint of a fetch and continue without noticing, instead of crashing.
+	pause      bool
+	crashed    bool
+	crashes    int
+	takingOver bool
+
+	cursor    int
+	seen      map[int]bool
+	delivered map[int]peerapi.DeliveredSample
 }
 
-// event counts one event and reports whether the owner lives on.
-func (r *crashRun) event() bool {
+// continueAfterEvent counts one event and reports whether the owner continues.
+func (r *crashRun) continueAfterEvent() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.pausing {
+	if r.takingOver {
 		return true
 	}
 	at := r.events
@@ -45,13 +45,13 @@
 	if !slices.Contains(r.crashAt, at) {
 		return true
 	}
-	r.fired++
+	r.crashes++
 	r.crashed = !r.pause
 	return false
 }
 
-// takeCrashed reports whether the owner died since the last call.
-func (r *crashRun) takeCrashed() bool {
+// consumeCrash reports whether the owner has crashed since the last call.
+func (r *crashRun) consumeCrash() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	crashed := r.crashed
@@ -59,40 +59,40 @@
 	return crashed
 }
 
-// reach is the failpoint hook.
-func (r *crashRun) reach(name string) {
+// onFailpoint handles a failpoint as an event.
+func (r *crashRun) onFailpoint(name string) {
 	if r.pause && !strings.HasPrefix(name, "fetch.") {
 		return
 	}
-	if r.event() {
+	if r.continueAfterEvent() {
 		return
 	}
 	if r.pause {
 		r.takeOver()
 		return
 	}
-	r.opener.die()
+	r.opener.kill()
 }
 
-// takeOver lets another process own the shards while the first is paused. It serves a fetch whose answer is lost, then a
-// newer version.
+// takeOver replaces the owner by another process while the first one is paused. The new owner serves a fetch whose response
+// is lost.
 func (r *crashRun) takeOver() {
-	r.pausing = true
+	r.takingOver = true
 	paused := r.service
 	r.service = nil
 	r.restart()
 	_, err := r.fetch(2, r.cursor, 5, 3)
 	r.is.NoErr(err)
 	r.t.Cleanup(paused.Close)
-	r.pausing = false
+	r.takingOver = false
 }
 
-// call repeats an operation whose answer a crash has lost.
-func (r *crashRun) call(operation func() error) {
+// retryOnCrash runs an operation and repeats it if the owner crashed meanwhile, so that the result was lost.
+func (r *crashRun) retryOnCrash(operation func() error) {
 	r.t.Helper()
 	for {
 		err := operation()
-		if r.takeCrashed() {
+		if r.consumeCrash() {
 			r.restart()
 			continue
 		}
@@ -104,27 +104,27 @@
 	}
 }
 
-// produce generates everything that waits, through crashes.
-func (r *crashRun) produce(version uint64) {
-	r.call(func() error {
-		r.generate(2, version)
+// completeWaiting completes all waiting samples in spite of crashes.
+func (r *crashRun) completeWaiting(version uint64) {
+	r.retryOnCrash(func() error {
+		r.completeAll(2, version)
 		return nil
 	})
 	synctest.Wait()
-	r.call(func() error { return nil })
+	r.retryOnCrash(func() error { return nil })
 }
 
-// take fetches once at the cursor; keep false is an answer that never arrives.
-func (r *crashRun) take(version uint64, keep bool) {
+// fetchOnce fetches once at the cursor. If keep is false, the response is lost.
+func (r *crashRun) fetchOnce(version uint64, keep bool) {
 	var result *peerapi.FetchSamplesResult
-	r.call(func() (err error) {
+	r.retryOnCrash(func() (err error) {
 		result, err = r.fetch(2, r.cursor, version, 2)
 		return err
 	})
 	for i, sample := range result.Samples {
-		r.check(sample, r.cursor+i, version)
+		r.checkSample(sample, r.cursor+i, version)
 		if keep {
-			r.is.True(!r.seen[sample.Index]) // each sample once
+			r.is.True(!r.seen[sample.Index]) // each sample is delivered once
 			r.seen[sample.Index] = true
 		}
 	}
@@ -134,19 +134,19 @@
 	}
 }
 
-// check judges one sample as handed over.
-func (r *crashRun) check(sample peerapi.DeliveredSample, position int, version uint64) {
+// checkSample checks one delivered sample.
+func (r *crashRun) checkSample(sample peerapi.DeliveredSample, position int, version uint64) {
 	tokens := answer(sample.Index, sample.Attempt)
 	r.is.Equal(sample.Position, position)
 	r.is.Equal(sample.Tokens, tokens)
 	r.is.Equal(sample.Reward, float64(len(tokens)))
 	r.is.True(sample.Scored)
-	r.is.True(r.inBound(sample, version)) // never too old
-	if before, again := r.last[position]; again && before.Attempt != sample.Attempt {
+	r.is.True(r.inBound(sample, version)) // within the staleness bound
+	if before, repeated := r.delivered[position]; repeated && before.Attempt != sample.Attempt {
 		r.is.Equal(before.Index, sample.Index) // a position keeps its sample
-		r.is.True(!r.inBound(before, version)) // and its answer while that is in bound
+		r.is.True(!r.inBound(before, version)) // an answer is only replaced if it is out of bounds
 	}
-	r.last[position] = sample
+	r.delivered[position] = sample
 }
 
 func (r *crashRun) inBound(sample peerapi.DeliveredSample, version uint64) bool {
@@ -154,89 +154,92 @@
 	return sample.Spans[0].Version+1 >= version && age <= time.Minute-maxHandoverAllowance
 }
 
-// play is the scenario: a whole step, with an answer that is lost, answers that grow too old while assigned and while
-// unassigned, and answers that a new version puts out of bound.
-func (r *crashRun) play() {
-	r.call(func() error { return r.step(2, 3) })
-	r.call(func() error { return r.publish(5) })
-	r.produce(5)
-	r.take(5, false) // lost on the way
-	r.take(5, true)
+// runScenario runs a whole step with lost responses, answers that exceed the max age with and without a position, and
+// answers that are out of bounds after a new version.
+func (r *crashRun) runScenario() {
+	r.retryOnCrash(func() error { return r.step(2, 3) })
+	r.retryOnCrash(func() error { return r.publish(5) })
+	r.completeWaiting(5)
+	r.fetchOnce(5, false) // the response is lost
+	r.fetchOnce(5, true)
 	r.is.Equal(r.cursor, 2)
-	r.take(5, false)
-	time.Sleep(time.Minute) // all but the first two are too old now
-	r.take(5, true)
+	r.fetchOnce(5, false)
+	time.Sleep(time.Minute) // all but the first two answers exceed the max age
+	r.fetchOnce(5, true)
 	r.is.Equal(r.cursor, 2)
-	r.produce(5)
-	r.take(5, true)
+	r.completeWaiting(5)
+	r.fetchOnce(5, true)
 	r.is.Equal(r.cursor, 4)
-	r.call(func() error { return r.publish(7) }) // the last two are two versions behind now
-	r.take(7, true)
-	r.produce(7)
+	r.retryOnCrash(func() error { return r.publish(7) }) // the last two answers are two versions behind
+	r.fetchOnce(7, true)
+	r.completeWaiting(7)
 	for r.cursor < 6 {
-		r.take(7, true)
+		r.fetchOnce(7, true)
 	}
-	r.take(7, true) // the last acknowledgement
+	r.fetchOnce(7, true) // acknowledges the last samples
 	r.is.Equal(len(r.seen), 6)
-	r.call(func() error { return r.step(2, 3) })
+	r.retryOnCrash(func() error { return r.step(2, 3) })
 }
 
-// playCrashing plays the scenario with crashes at the given events and returns how many of them took place.
-func playCrashing(t *testing.T, pause bool, crashAt ...int) (fired, events int) {
+// runWithCrashes runs the scenario with crashes at the given events and returns the number of crashes and of events.
+func runWithCrashes(t *testing.T, pause bool, crashAt ...int) (crashes, events int) {
 	synctest.Test(t, func(t *testing.T) {
 		workload := testWorkload()
 		workload.Scorer = "judge"
 		r := &crashRun{
-			world:   newWorld(t, workload),
-			is:      is.New(t),
-			crashAt: crashAt,
-			pause:   pause,
-			seen:    make(map[int]bool),
-			last:    make(map[int]peerapi.DeliveredSample),
+			testEnv:   newTestEnv(t, workload),
+			is:        is.New(t),
+			crashAt:   crashAt,
+			pause:     pause,
+			seen:      make(map[int]bool),
+			delivered: make(map[int]peerapi.DeliveredSample),
 		}
-		r.failpoint = r.reach
+		r.failpoint = r.onFailpoint
 		if !pause {
-			r.log.beforeRecord = r.event
-			r.log.afterRecord = r.event
+			r.log.beforeRecord = r.continueAfterEvent
+			r.log.afterRecord = r.continueAfterEvent
 		}
-		r.play()
+		r.runScenario()
 		r.service.Close()
-		fired, events = r.fired, r.events
+		crashes, events = r.crashes, r.events
 		if t.Failed() {
 			t.Logf("crash at events %v, pause %v", crashAt, pause)
 		}
 	})
-	return fired, events
+	return crashes, events
 }
 
-// everyPoint plays the scenario once for each point, until there are no more, and fails when there were fewer than least.
-func everyPoint(t *testing.T, pause bool, least int) {
+// crashAtEveryPoint runs the scenario once for each event with a crash at that event. It fails if there are fewer than
+// minPoints events.
+func crashAtEveryPoint(t *testing.T, pause bool, minPoints int) {
 	points := 0
 	for {
-		if fired, _ := playCrashing(t, pause, points); fired == 0 || t.Failed() {
+		if crashes, _ := runWithCrashes(t, pause, points); crashes == 0 || t.Failed() {
 			break
 		}
 		points++
 	}
-	if points < least {
+	if points < minPoints {
 		t.Errorf("only %d points were tried", points)
 	}
 	t.Logf("%d points", points)
 }
 
-// TestOwnerDeathAtEveryPoint kills the owner before and after each record and at each failpoint, one at a time.
-func TestOwnerDeathAtEveryPoint(t *testing.T) { everyPoint(t, false, 150) }
+// TestOwnerCrashAtEveryPoint crashes the owner before and after each record and at each failpoint, once per run. It guards
+// against samples that are lost, delivered twice or over the staleness bound.
+func TestOwnerCrashAtEveryPoint(t *testing.T) { crashAtEveryPoint(t, false, 150) }
 
-// TestPausedOwnerAtEveryPoint takes the shard away at each failpoint of a fetch while the owner goes on unaware.
-func TestPausedOwnerAtEveryPoint(t *testing.T) { everyPoint(t, true, 20) }
+// TestPausedOwnerAtEveryPoint replaces the owner at each failpoint of a fetch. The old owner continues the fetch without
+// noticing; it must not hand over samples that contradict those of the new owner.
+func TestPausedOwnerAtEveryPoint(t *testing.T) { crashAtEveryPoint(t, true, 20) }
 
-// TestOwnerDeathTwice kills the owner at each point, and its successor at each of the next events.
-func TestOwnerDeathTwice(t *testing.T) {
+// TestOwnerCrashTwice crashes the owner at each event and its successor at each of the next 6 events.
+func TestOwnerCrashTwice(t *testing.T) {
 	const within = 6
-	_, events := playCrashing(t, false)
+	_, events := runWithCrashes(t, false)
 	for first := range events {
 		for second := first + 1; second <= first+within && !t.Failed(); second++ {
-			playCrashing(t, false, first, second)
+			runWithCrashes(t, false, first, second)
 		}
 	}
 }
--- a/internal/stepledger/fake_test.go
+++ b/internal/stepledger/fake_test.go
@@ -13,16 +13,16 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// memoryLog is a set of streams in memory with at most one owner each.
+// memoryLog is an in-memory log of streams that have at most one owner each.
 type memoryLog struct {
 	mutex   sync.Mutex
 	streams map[string]*memoryStream
-	// beforeRecord is called before each record is written; false stops the owner there.
+	// beforeRecord is called before each record is written; if it returns false, the owner crashes at that point.
 	beforeRecord func() bool
-	// afterRecord is called after each record is written; false stops the owner there.
+	// afterRecord is called after each record is written; if it returns false, the owner crashes at that point.
 	afterRecord func() bool
-	// lostAnswers is how many of the next writes take effect while their owner does not learn of it.
-	lostAnswers int
+	// lostResponses is the number of next writes that take effect although their call fails.
+	lostResponses int
 }
 
 type memoryStream struct {
@@ -31,7 +31,7 @@
 	owner   *memoryOwner
 }
 
-// memoryOpener opens the streams of a log for one process; once dead, it opens none.
+// memoryOpener opens the streams of a log for one process. Once dead is set, it opens no more.
 type memoryOpener struct {
 	log    *memoryLog
 	dead   bool
@@ -44,11 +44,11 @@
 	state  shard.State
 	epoch  uint64
 	done   chan struct{}
-	// superseded says that the stream has another owner; this one finds out when it next asks the log.
+	// superseded is set if the stream has another owner. This owner detects it at its next access to the log.
 	superseded bool
-	// gone says that done is closed.
+	// gone is set if done is closed.
 	gone bool
-	// slow delays each write and proof.
+	// slow is the delay of each write and each proof of ownership.
 	slow time.Duration
 }
 
@@ -87,8 +87,8 @@
 	return owner, nil
 }
 
-// die stops every owner of this process. Views still show what they held.
-func (o *memoryOpener) die() {
+// kill stops all owners of this process. Their views still show the last state.
+func (o *memoryOpener) kill() {
 	o.log.mutex.Lock()
 	defer o.log.mutex.Unlock()
 	o.dead = true
@@ -110,7 +110,7 @@
 	defer o.log.mutex.Unlock()
 	var outcomes []any
 	for _, proposal := range proposals {
-		if !o.owns() {
+		if !o.checkOwnership() {
 			return nil, shard.ErrNotOwner
 		}
 		if o.log.beforeRecord != nil && !o.log.beforeRecord() {
@@ -120,8 +120,8 @@
 		record := shard.Record{Offset: int64(len(o.stream.records)), Epoch: o.epoch, Kind: proposal.Kind, Body: proposal.Body}
 		o.stream.records = append(o.stream.records, record)
 		outcomes = append(outcomes, o.state.Apply(record))
-		if o.log.lostAnswers > 0 {
-			o.log.lostAnswers--
+		if o.log.lostResponses > 0 {
+			o.log.lostResponses--
 			return nil, shard.ErrUncertain
 		}
 		if o.log.afterRecord != nil && !o.log.afterRecord() {
@@ -142,14 +142,14 @@
 	time.Sleep(o.slow)
 	o.log.mutex.Lock()
 	defer o.log.mutex.Unlock()
-	if !o.owns() {
+	if !o.checkOwnership() {
 		return shard.ErrNotOwner
 	}
 	return nil
 }
 
-// owns asks the log whether this owner is still the stream's.
-func (o *memoryOwner) owns() bool {
+// checkOwnership reports whether this is still the owner of the stream, and stops the owner if it was superseded.
+func (o *memoryOwner) checkOwnership() bool {
 	if o.superseded {
 		o.stop()
 	}
@@ -160,7 +160,8 @@
 func (o *memoryOwner) Done() <-chan struct{}         { return o.done }
 func (o *memoryOwner) Release(context.Context) error { return nil }
 
-// memoryBundles holds the bundle in force. Confirm shows confirmed where it is set, as when the node lags behind the log.
+// memoryBundles holds the bundle in force. If confirmed is set, Confirm returns it instead of current, as for a node that
+// lags behind the log.
 type memoryBundles struct {
 	mutex     sync.Mutex
 	current   *bundle.Accepted
@@ -183,7 +184,7 @@
 	return b.current
 }
 
-// set puts a bundle in force, at first for the log alone and, where known, for this node too.
+// set puts a bundle in force in the log and, if known is true, on this node too.
 func (b *memoryBundles) set(accepted *bundle.Accepted, known bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -205,7 +206,8 @@
 	return b.current, nil
 }
 
-// lengthScorer rewards an answer by its length.
+// lengthScorer returns the length of an answer as its reward. As long as failures is above 0, each call decrements it and
+// fails.
 type lengthScorer struct{ failures atomic.Int32 }
 
 func (s *lengthScorer) Score(_ context.Context, _, sampleID string, _, tokens []uint32) (platform.Score, error) {
@@ -215,7 +217,7 @@
 	return platform.Score{SampleID: sampleID, Reward: float64(len(tokens))}, nil
 }
 
-// testWorkload is a workload with a bound of one version and a minute.
+// testWorkload returns a workload with a staleness bound of one version and one minute.
 func testWorkload() bundle.Workload {
 	return bundle.Workload{
 		Name:      "drafter",
--- a/internal/stepledger/fetch.go
+++ b/internal/stepledger/fetch.go
@@ -12,24 +12,24 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// handoverWindow is the longest time between the end of the proof of ownership and the answer that relies on it. A process
-// that was paused in between starts over.
+// handoverWindow is the max time between the end of the ownership proof and the response based on it. FetchSamples
+// starts over after a longer time, for example after the process was paused in between.
 const handoverWindow = 2 * time.Second
 
-// FetchSamples hands out samples from a cursor on, which says that the trainer holds every position below it. Positions
-// are in the log before they are sent, and the same cursor gets the same samples at the same positions, unless one has
-// passed the staleness bound: it never arrived, and a new answer of the same sample takes its position. The bundle stream
-// is read to its tail and the ownership proven before anything is handed over.
+// FetchSamples returns the samples from a cursor on. The cursor acknowledges every position below it. Positions are in the
+// log before they are sent, and the same cursor returns the same samples at the same positions. Only an unacknowledged
+// answer that has exceeded the staleness bound is replaced, at the same position, by a new answer to the same sample. The
+// bundle stream is read to its tail and the ownership of the shard is proven before samples are handed over.
 func (s *Service) FetchSamples(ctx context.Context, request *peerapi.FetchSamples) (*peerapi.FetchSamplesResult, error) {
 	if _, err := s.workload(request.Workload); err != nil {
 		return nil, err
 	}
-	current, err := s.open(ctx, request.Workload, ShardOf(request.Step))
+	current, err := s.openSession(ctx, request.Workload, ShardOf(request.Step))
 	if err != nil {
 		return nil, err
 	}
-	current.noteFetch(request.Step, request.TrainerVersion)
-	timer := time.NewTimer(waitTime(request.WaitMillis))
+	current.recordFetch(request.Step, request.TrainerVersion)
+	timer := time.NewTimer(boundedWait(request.WaitMillis))
 	defer timer.Stop()
 	accepted := s.config.Bundles.Current()
 	for {
@@ -40,50 +40,50 @@
 			return nil, err
 		}
 		accepted = round.accepted
-		if round.again || time.Since(round.proven) > handoverWindow {
+		if round.retry || time.Since(round.provenAt) > handoverWindow {
 			continue
 		}
 		if round.result != nil {
 			s.counters.HandedOver.Add(uint64(len(round.result.Samples)))
 			return round.result, nil
 		}
-		again, err := current.wait(ctx, timer, changed, bundleChanged)
+		retry, err := current.wait(ctx, timer, changed, bundleChanged)
 		if err != nil {
 			return nil, err
 		}
-		if !again {
+		if !retry {
 			return round.empty(request)
 		}
 	}
 }
 
-// noteFetch notes the step that the trainer wants, and its version.
-func (c *session) noteFetch(step, trainerVersion uint64) {
+// recordFetch stores the step and the version of the trainer if the step is newer than that of all fetches before.
+func (c *session) recordFetch(step, trainerVersion uint64) {
 	c.mutex.Lock()
-	newer := step > c.fetching
+	newer := step > c.fetchedStep
 	if newer {
-		c.fetching, c.fetchVersion = step, trainerVersion
+		c.fetchedStep, c.fetchedVersion = step, trainerVersion
 	}
 	c.mutex.Unlock()
 	if newer {
-		c.work.raise()
+		c.work.notify()
 	}
 }
 
-// fetchRound is what one pass of FetchSamples came to.
+// fetchRound is the result of one pass of FetchSamples.
 type fetchRound struct {
-	// result is the answer; nil when there is nothing to hand over yet.
+	// result is the response; nil if there is nothing to hand over yet.
 	result *peerapi.FetchSamplesResult
-	// again says that the pass must be repeated at once.
-	again bool
-	// found says that the step is known.
+	// retry is set if the pass must be repeated at once.
+	retry bool
+	// found is set if the step is known.
 	found bool
-	// proven is when the ownership and the bundle were known to be in force.
-	proven   time.Time
+	// provenAt is the time at which the proof of ownership and the confirmation of the bundle were complete.
+	provenAt time.Time
 	accepted *bundle.Accepted
 }
 
-// empty is the answer when the wait is over with nothing to hand over.
+// empty returns the response to a fetch that ends without samples, or CodeNotFound for an unknown step.
 func (r fetchRound) empty(request *peerapi.FetchSamples) (*peerapi.FetchSamplesResult, error) {
 	if !r.found {
 		return nil, refuse(peer.CodeNotFound, "step was never submitted")
@@ -91,34 +91,35 @@
 	return &peerapi.FetchSamplesResult{NextCursor: request.Cursor, BundleVersion: r.accepted.Bundle.Version}, nil
 }
 
-// fetchRound plans, and where there is nothing to do ends there, so that a waiting fetch costs the log nothing. Otherwise it
-// writes the plan while the bundle is confirmed, and collects what may be handed over after that.
+// fetchRound makes one pass of FetchSamples: it plans the records, writes them while the bundle is confirmed, and then
+// collects the samples that may be handed over. An idle plan ends the pass at once, so that a waiting fetch causes no calls
+// to the log.
 func (c *session) fetchRound(ctx context.Context, request *peerapi.FetchSamples, accepted *bundle.Accepted) (fetchRound, error) {
 	workload, err := trainingWorkload(accepted, request.Workload)
 	if err != nil {
 		return fetchRound{}, err
 	}
 	var plan fetchPlan
-	workload = c.service.handoverTerms(workload)
+	workload = c.service.handoverWorkload(workload)
 	c.view(func(state *State) { plan = planFetch(state, request, workload, time.Now()) })
 	c.service.mutatePlan(&plan)
 	if plan.idle {
-		return fetchRound{accepted: accepted, found: true, proven: time.Now()}, nil
+		return fetchRound{accepted: accepted, found: true, provenAt: time.Now()}, nil
 	}
-	c.service.reach("fetch.before_append")
+	c.service.runFailpoint("fetch.before_append")
 	conflict, confirmed, err := c.commitFetch(ctx, plan.proposals)
 	if err != nil {
 		return fetchRound{}, err
 	}
-	proven := time.Now()
-	c.service.reach("fetch.after_append")
+	provenAt := time.Now()
+	c.service.runFailpoint("fetch.after_append")
 	if plan.version > 0 {
 		c.versionChanged(plan.version)
 	}
 	if plan.replaced {
-		c.work.raise()
+		c.work.notify()
 	}
-	round := fetchRound{accepted: confirmed, again: conflict, found: true, proven: proven}
+	round := fetchRound{accepted: confirmed, retry: conflict, found: true, provenAt: provenAt}
 	if conflict {
 		return round, nil
 	}
@@ -126,24 +127,24 @@
 	if err != nil {
 		return fetchRound{}, err
 	}
-	workload = c.service.handoverTerms(workload)
+	workload = c.service.handoverWorkload(workload)
 	var handover handover
 	c.view(func(state *State) { handover = collect(state, request, workload, time.Now()) })
-	c.service.reach("fetch.before_handover")
+	c.service.runFailpoint("fetch.before_handover")
 	if handover.refusal != nil {
 		return fetchRound{}, handover.refusal
 	}
 	round.found = handover.found
-	round.again = handover.overBound
+	round.retry = handover.overBound
 	if handover.complete || len(handover.samples) > 0 {
-		round.again = false
-		round.result = handover.answer(request, confirmed)
+		round.retry = false
+		round.result = handover.response(request, confirmed)
 	}
 	return round, nil
 }
 
-// commitFetch writes the plan, or proves the ownership where there is nothing to write, and confirms the bundle at the same
-// time. conflict says that another fetch came between plan and log.
+// commitFetch writes the planned records, or proves the ownership of the shard if there are none, and concurrently confirms
+// the bundle. conflict is set if another fetch changed the state between the planning and the write.
 func (c *session) commitFetch(ctx context.Context, proposals []shard.Proposal) (conflict bool, accepted *bundle.Accepted, err error) {
 	group, groupCtx := errgroup.WithContext(ctx)
 	group.Go(func() error {
--- a/internal/stepledger/fold.go
+++ b/internal/stepledger/fold.go
@@ -9,7 +9,7 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// Apply folds a record; its outcome is an Outcome.
+// Apply applies a record to the state and returns an Outcome.
 func (s *State) Apply(record shard.Record) any {
 	switch record.Kind {
 	case KindStepSubmitted:
@@ -35,7 +35,7 @@
 	}
 }
 
-// fold decodes a body and applies it; what does not decode whole changes nothing.
+// fold decodes a body and applies it. A body that does not decode completely is malformed and changes nothing.
 func fold[B any, P interface {
 	*B
 	msgp.Unmarshaler
@@ -48,7 +48,8 @@
 	return apply(decoded)
 }
 
-// submit adds a step, unless it is known with the same (duplicate) or another (conflict) content.
+// submit adds a step. A known step is a duplicate if its content is the same and a conflict otherwise, as is a step below the
+// floor.
 func (s *State) submit(body *StepSubmitted) Outcome {
 	count, ok := sampleCount(body.PromptCount, body.SamplesPerPrompt)
 	if !ok || body.MaxTokens <= 0 || len(body.Prompts) > body.PromptCount || !validPrompts(body.Prompts) {
@@ -77,7 +78,7 @@
 	return OutcomeRecorded
 }
 
-// addPrompts adds prompts to a step that is not whole yet.
+// addPrompts appends prompts to a step that does not have all of them yet.
 func (s *State) addPrompts(body *PromptsAdded) Outcome {
 	if !validPrompts(body.Prompts) {
 		return OutcomeMalformed
@@ -110,7 +111,7 @@
 	return true
 }
 
-// knownDigest finds the digest of a step, finished or not.
+// knownDigest returns the digest of an open or retired step and whether the step is known.
 func (s *State) knownDigest(number uint64) (bool, []byte) {
 	if step := s.step(number); step != nil {
 		return true, step.Digest
@@ -121,7 +122,7 @@
 	return false, nil
 }
 
-// publish raises the newest version.
+// publish raises the newest published version.
 func (s *State) publish(body *VersionPublished) Outcome {
 	if body.Version <= s.image.Latest {
 		return OutcomeDuplicate
@@ -130,7 +131,7 @@
 	return OutcomeRecorded
 }
 
-// complete gives a waiting sample its answer.
+// complete stores the answer to a waiting sample.
 func (s *State) complete(body *SampleCompleted) Outcome {
 	step, sample := s.sample(body.Step, body.Index)
 	if sample == nil {
@@ -159,7 +160,7 @@
 	return OutcomeRecorded
 }
 
-// score gives an answer its reward, once.
+// score stores the reward of an answer that has none.
 func (s *State) score(body *SampleScored) Outcome {
 	_, sample := s.sample(body.Step, body.Index)
 	if sample == nil {
@@ -176,7 +177,7 @@
 	return OutcomeRecorded
 }
 
-// assign gives the next positions to samples that are ready; all of them or none.
+// assign assigns the next positions to samples that are ready: to all of them or to none.
 func (s *State) assign(body *PositionsAssigned) Outcome {
 	step := s.step(body.Step)
 	if step == nil {
@@ -197,7 +198,7 @@
 	return OutcomeRecorded
 }
 
-// assignable reports whether the answers are there, have no position yet, and are named once.
+// assignable reports whether the list is not empty and every answer in it exists, has no position and is listed once.
 func (t *StepImage) assignable(answers []AttemptAt) bool {
 	seen := make(map[int]bool, len(answers))
 	for _, answer := range answers {
@@ -213,7 +214,7 @@
 	return len(answers) > 0
 }
 
-// replace drops an answer that the trainer has not acknowledged. The sample keeps its position.
+// replace drops an answer that the trainer has not acknowledged. The sample keeps its position if it has one.
 func (s *State) replace(body *SampleReplaced) Outcome {
 	step, sample := s.sample(body.Step, body.Index)
 	if sample == nil {
@@ -229,7 +230,7 @@
 }
 
 // advance raises the cursor and drops the payloads below it. A position below it whose answer was being replaced counts as
-// delivered: the trainer says that it holds the earlier answer.
+// delivered, since the trainer has acknowledged the earlier answer.
 func (s *State) advance(body *CursorAdvanced) Outcome {
 	step := s.step(body.Step)
 	if step == nil {
@@ -254,7 +255,7 @@
 	return OutcomeRecorded
 }
 
-// retire drops a step whose samples all have positions, and remembers its digest.
+// retire drops a step whose samples all have positions and keeps its digest.
 func (s *State) retire(body *StepRetired) Outcome {
 	at, found := s.search(body.Step)
 	if !found {
@@ -281,7 +282,7 @@
 	return OutcomeRecorded
 }
 
-// sample finds a sample; nil where there is none.
+// sample returns a sample and its step, or nil if there is no such sample.
 func (s *State) sample(number uint64, index int) (*StepImage, *SampleImage) {
 	step := s.step(number)
 	if step == nil || index < 0 || index >= len(step.Samples) {
--- a/internal/stepledger/fold_test.go
+++ b/internal/stepledger/fold_test.go
@@ -11,14 +11,14 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// recordKinds are the kinds to draw from, the frequent ones more often.
+// recordKinds lists the kinds to draw from. Kinds listed more than once are drawn more often.
 var recordKinds = []uint8{
 	KindSampleCompleted, KindSampleCompleted, KindSampleCompleted, KindPositionsAssigned, KindPositionsAssigned,
 	KindCursorAdvanced, KindCursorAdvanced, KindSampleReplaced, KindSampleScored, KindVersionPublished,
 	KindStepRetired, KindStepSubmitted, KindPromptsAdded,
 }
 
-// drawBody draws a record about one of two steps, often one that contradicts the state.
+// drawBody draws a record of one of two steps. It often contradicts the state.
 func drawBody(t *rapid.T, state *State) (uint8, msgp.Marshaler) {
 	step := rapid.SampledFrom([]uint64{1, 1, 1, 2}).Draw(t, "step")
 	index := rapid.SampledFrom([]int{0, 0, 1, 1, 2, 3, 4, -1}).Draw(t, "index")
@@ -53,7 +53,7 @@
 	}
 }
 
-// drawRecord draws a record, now and then with a damaged body.
+// drawRecord draws a record, occasionally with a damaged body.
 func drawRecord(t *rapid.T, state *State) shard.Record {
 	kind, marshaler := drawBody(t, state)
 	body, err := marshaler.MarshalMsg(nil)
@@ -71,10 +71,10 @@
 	return shard.Record{Kind: kind, Body: body}
 }
 
-// TestFoldKeepsItsInvariants folds any records: the state stays consistent, positions keep their samples, cursors and the
-// version only grow, what is not recorded changes nothing, a repeat never counts twice, and a restored snapshot folds on
-// to the same state.
-func TestFoldKeepsItsInvariants(t *testing.T) {
+// TestFoldKeepsInvariants folds arbitrary records. The state must stay consistent, positions keep their samples, cursors and
+// the version never decrease, only recorded records change the state, a repeated record is not recorded again, and folding
+// continues from a restored snapshot to the same state.
+func TestFoldKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state, restored := &State{}, &State{}
 		for range rapid.SampledFrom([]int{10, 100, 200}).Draw(t, "records") {
@@ -101,7 +101,7 @@
 	})
 }
 
-// checkGrowth compares two states, one record apart.
+// checkGrowth fails if a state and its successor after one more record violate an invariant.
 func checkGrowth(t *rapid.T, before, after *State) {
 	if after.Latest() < before.Latest() {
 		t.Fatal("the version fell")
@@ -138,7 +138,7 @@
 	return snapshot
 }
 
-// decode restores a snapshot, which checks its consistency.
+// decode restores a state from a snapshot and fails the test if the snapshot is inconsistent.
 func decode(t *rapid.T, snapshot []byte) *State {
 	state := &State{}
 	if err := state.Restore(snapshot); err != nil {
@@ -147,7 +147,8 @@
 	return state
 }
 
-func TestForgottenStepsAreNotTakenAgain(t *testing.T) {
+// TestForgottenStepsAreRefused guards against running a retired step again after its digest was dropped.
+func TestForgottenStepsAreRefused(t *testing.T) {
 	is := is.New(t)
 	state := &State{}
 	submit := func(number uint64) Outcome {
@@ -159,8 +160,8 @@
 		is.Equal(state.assign(&PositionsAssigned{Step: number, Samples: []AttemptAt{{}}}), OutcomeRecorded)
 		is.Equal(state.retire(&StepRetired{Step: number}), OutcomeRecorded)
 	}
-	is.Equal(submit(1), OutcomeConflict)  // no longer remembered, and never run twice
-	is.Equal(submit(2), OutcomeDuplicate) // still remembered
+	is.Equal(submit(1), OutcomeConflict)  // its digest is no longer kept, and it must not run twice
+	is.Equal(submit(2), OutcomeDuplicate) // its digest is still kept
 }
 
 func TestStreamNames(t *testing.T) {
--- a/internal/stepledger/handover.go
+++ b/internal/stepledger/handover.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// defaultFetch and maxFetch are the samples of one answer when the trainer names no number, and at most.
+	// defaultFetch is the number of samples in a response if the trainer requests none, and maxFetch the max number.
 	defaultFetch = 64
 	maxFetch     = 512
-	// maxFetchTokens bounds the tokens of one answer; a single longer sample still goes out.
+	// maxFetchTokens limits the tokens of one response. A single longer sample is still returned.
 	maxFetchTokens = 1 << 18
-	// maxFetchRecords bounds the answers replaced by one pass of a fetch; further passes do the rest.
+	// maxFetchRecords limits the answers replaced in one pass of a fetch; further passes replace the rest.
 	maxFetchRecords = 256
 )
 
-// fetchLimit is how many samples a fetch may get.
+// fetchLimit returns the max number of samples in the response to a fetch.
 func fetchLimit(maxSamples int) int {
 	if maxSamples <= 0 {
 		return defaultFetch
@@ -27,18 +27,19 @@
 	return min(maxSamples, maxFetch)
 }
 
-// fetchPlan is what a fetch writes to the log before anything is handed over.
+// fetchPlan holds the records that a fetch writes to the log before samples are handed over.
 type fetchPlan struct {
 	proposals []shard.Proposal
-	// version is the trainer's version where the shard did not know it, otherwise 0.
+	// version is the trainer's version if it is new to the shard, otherwise 0.
 	version uint64
-	// replaced says that answers are dropped and their samples need new attempts.
+	// replaced is set if answers are dropped, so that their samples need new attempts.
 	replaced bool
-	// idle says that there is neither anything to write nor anything to hand over or refuse, so that no proof is needed.
+	// idle is set if there is nothing to write, hand over or refuse, so that no proof of ownership is needed.
 	idle bool
 }
 
-// planFetch decides what to write. It reads the state only. A request that will be refused writes nothing.
+// planFetch returns the records that a fetch writes. It only reads the state. The plan of a request that will be refused is
+// empty.
 func planFetch(state *State, request *peerapi.FetchSamples, workload *bundle.Workload, now time.Time) fetchPlan {
 	var plan fetchPlan
 	step := state.step(request.Step)
@@ -64,7 +65,7 @@
 	return plan
 }
 
-// nextDeliverable reports whether the position at the cursor holds an answer that may be handed over.
+// nextDeliverable reports whether the answer at the cursor may be handed over.
 func nextDeliverable(step *StepImage, cursor int, workload *bundle.Workload, limits bounds, now time.Time) bool {
 	if cursor >= len(step.Positions) {
 		return false
@@ -72,14 +73,14 @@
 	return deliverable(&step.Samples[step.Positions[cursor]], workload, limits, now)
 }
 
-// add appends a record to the plan.
+// add encodes a record and appends it to the plan.
 func (p *fetchPlan) add(kind uint8, record interface {
 	MarshalMsg([]byte) ([]byte, error)
 }) {
 	p.proposals = append(p.proposals, proposal(kind, record))
 }
 
-// replaceOverBound drops the answers among samples that may no longer be handed over.
+// replaceOverBound adds records that drop the answers of the given samples that are over the staleness bound.
 func (p *fetchPlan) replaceOverBound(step *StepImage, samples []int, limits bounds, now time.Time) {
 	for _, index := range samples {
 		sample := &step.Samples[index]
@@ -94,8 +95,8 @@
 	}
 }
 
-// assignReady gives the next positions to answers in order of completion, as far as the fetch has room. A position that
-// waits for its answer holds back those after it.
+// assignReady assigns the next positions to answers in order of completion, up to the limit of the fetch. It assigns none
+// while an earlier position from the cursor on has no deliverable answer.
 func (p *fetchPlan) assignReady(
 	step *StepImage,
 	request *peerapi.FetchSamples,
@@ -108,10 +109,10 @@
 			return
 		}
 	}
-	room := fetchLimit(request.MaxSamples) - (len(step.Positions) - request.Cursor)
+	free := fetchLimit(request.MaxSamples) - (len(step.Positions) - request.Cursor)
 	record := &PositionsAssigned{Step: step.Step, First: len(step.Positions)}
 	for _, index := range step.Ready {
-		if len(record.Samples) >= room {
+		if len(record.Samples) >= free {
 			break
 		}
 		sample := &step.Samples[index]
@@ -124,7 +125,7 @@
 	}
 }
 
-// deliverable reports whether a sample holds an answer in bound, scored where the workload names a scorer.
+// deliverable reports whether a sample has an answer within the staleness bound, and a reward if the workload names a scorer.
 func deliverable(sample *SampleImage, workload *bundle.Workload, limits bounds, now time.Time) bool {
 	if !sample.Complete || (workload.Scorer != "" && !sample.Scored) {
 		return false
@@ -132,7 +133,7 @@
 	return limits.accepts(sample, now)
 }
 
-// cursorRefusal refuses a cursor that the trainer cannot have.
+// cursorRefusal returns the refusal of a cursor below the acknowledged positions or above the assigned ones, otherwise nil.
 func cursorRefusal(step *StepImage, cursor int) error {
 	if cursor < step.Cursor {
 		return refuse(peer.CodeInvalid, "cursor is below one acknowledged earlier")
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// retiredRefusal refuses a cursor into a finished step; nil when the trainer holds all of it.
+// retiredRefusal returns the refusal of a cursor into a retired step; nil if the cursor is at the end of the step.
 func retiredRefusal(step *RetiredStep, cursor int) error {
 	switch {
 	case cursor == step.Samples:
@@ -155,26 +156,26 @@
 	}
 }
 
-// handover is what may be handed over now.
+// handover holds the samples that may be handed over now.
 type handover struct {
 	refusal error
 	found   bool
 	samples []peerapi.DeliveredSample
-	// complete says that the step ends with these samples.
+	// complete is set if the step ends with these samples.
 	complete bool
-	// overBound says that an assigned answer is over the bound and must be replaced.
+	// overBound is set if the answer at a position is over the staleness bound and must be replaced.
 	overBound bool
 }
 
-// collect takes the samples from the cursor on that may be handed over now. It only reads the state.
+// collect returns the samples from the cursor on that may be handed over now. It only reads the state.
 func collect(state *State, request *peerapi.FetchSamples, workload *bundle.Workload, now time.Time) handover {
 	step := state.step(request.Step)
 	if step == nil {
-		old := state.retired(request.Step)
-		if old == nil {
+		finished := state.retired(request.Step)
+		if finished == nil {
 			return handover{}
 		}
-		refusal := retiredRefusal(old, request.Cursor)
+		refusal := retiredRefusal(finished, request.Cursor)
 		return handover{refusal: refusal, found: true, complete: refusal == nil}
 	}
 	if refusal := cursorRefusal(step, request.Cursor); refusal != nil {
@@ -200,7 +201,7 @@
 	return result
 }
 
-// delivery builds the message of one sample.
+// delivery returns the message for one sample.
 func delivery(step *StepImage, position int, sample *SampleImage) peerapi.DeliveredSample {
 	tokens, err := unpackTokens(sample.Payload)
 	if err != nil {
@@ -220,8 +221,8 @@
 	}
 }
 
-// answer builds the answer to the fetch.
-func (h handover) answer(request *peerapi.FetchSamples, accepted *bundle.Accepted) *peerapi.FetchSamplesResult {
+// response returns the response to the fetch.
+func (h handover) response(request *peerapi.FetchSamples, accepted *bundle.Accepted) *peerapi.FetchSamplesResult {
 	return &peerapi.FetchSamplesResult{
 		Samples:       h.samples,
 		NextCursor:    request.Cursor + len(h.samples),
--- a/internal/stepledger/maintain.go
+++ b/internal/stepledger/maintain.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// maintainInterval is how often a session looks for attempts that are lost, answers that are over the bound and steps
-	// that may be dropped.
+	// maintainInterval is the interval at which a session checks for expired attempts, answers over the staleness bound and
+	// steps that may be dropped.
 	maintainInterval = 500 * time.Millisecond
-	// keepHandedOver is how many steps of a shard that were handed over whole, but whose last answer the trainer has not
-	// acknowledged, are kept below the step that it fetches now.
+	// keepHandedOver is the max number of steps of a shard, below the newest step with positions, that are kept although all
+	// their samples were handed over. The trainer has not acknowledged the last answers of these steps.
 	keepHandedOver = 8
-	// maxMaintainRecords bounds the records of one pass.
+	// maxMaintainRecords limits the records of one pass.
 	maxMaintainRecords = 256
 )
 
-// maintain works until the owner is done or the context ends.
+// maintain runs maintenance passes until the owner is done or the context ends.
 func (c *session) maintain(ctx context.Context) {
 	ticker := time.NewTicker(maintainInterval)
 	defer ticker.Stop()
@@ -40,9 +40,9 @@
 	}
 }
 
-// maintainOnce makes one pass.
+// maintainOnce makes one maintenance pass.
 func (c *session) maintainOnce(ctx context.Context, workload *bundle.Workload, now time.Time) {
-	freed := c.expire(workload, now)
+	freed := c.expireAttempts(workload, now)
 	var records []shard.Proposal
 	c.view(func(state *State) { records = maintenanceRecords(state, workload) })
 	if len(records) > 0 {
@@ -53,27 +53,27 @@
 		c.countReplaced(records, outcomes)
 	}
 	if c.becameStartable(workload, now) || freed || len(records) > 0 {
-		c.work.raise()
+		c.work.notify()
 	}
-	// An answer whose append was given up may have been folded since.
-	c.lookForUnscored()
+	// An answer whose append failed with an unknown outcome may have been folded since.
+	c.wakeScoring()
 }
 
-// becameStartable tells whether samples that were held back may be begun now, because of what was learned of their
-// siblings or because the wait for fresh weights is over.
+// becameStartable reports whether deferred samples may be started now that could not be started at the previous check. The
+// cause may be a change in their predicted lengths or the end of freshVersionTimeout.
 func (c *session) becameStartable(workload *bundle.Workload, now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	before := c.startable
+	before := c.hadStartable
 	c.view(func(state *State) {
 		snapshot := c.snapshot(state, workload, boundsOf(workload, state.Latest()), now)
 		count, _ := backlog(snapshot, 0)
-		c.startable = count > 0 && !snapshot.FreshOnly
+		c.hadStartable = count > 0 && !snapshot.FreshOnly
 	})
-	return c.startable && !before
+	return c.hadStartable && !before
 }
 
-// countReplaced counts the answers that records have dropped.
+// countReplaced counts the answers that were dropped by the records.
 func (c *session) countReplaced(records []shard.Proposal, outcomes []Outcome) {
 	for i, outcome := range outcomes {
 		if records[i].Kind == KindSampleReplaced && outcome == OutcomeRecorded {
@@ -82,9 +82,10 @@
 	}
 }
 
-// expire drops attempts that were not renewed in time, are of no more use, or can no longer be in bound. It tells whether
-// samples have become assignable.
-func (c *session) expire(workload *bundle.Workload, now time.Time) bool {
+// expireAttempts drops attempts that timed out without a report, whose sample is complete or gone, or whose tokens are over
+// the staleness bound. It also drops the state of samples whose step is gone, and inherited steps after the grace period. It
+// reports whether samples may have become assignable.
+func (c *session) expireAttempts(workload *bundle.Workload, now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	freed := false
@@ -94,21 +95,21 @@
 			step, sample := state.sample(key.step, key.index)
 			switch {
 			case sample == nil || !step.waiting(key.index):
-				c.drop(key)
+				c.dropAttempts(key)
 			case !limits.acceptsVersion(current.oldest):
 				c.voided[key] = current.number
 				delete(c.running, key)
 				freed = true
-			case now.Sub(current.heard) > attemptTimeout:
+			case now.Sub(current.reportedAt) > attemptTimeout:
 				c.service.counters.Silent.Add(1)
 				delete(c.running, key)
 				freed = true
 			}
 		}
-		for key := range c.numbers {
+		for key := range c.attemptCounts {
 			if state.step(key.step) == nil {
-				c.drop(key)
-				delete(c.numbers, key)
+				c.dropAttempts(key)
+				delete(c.attemptCounts, key)
 				delete(c.voided, key)
 			}
 		}
@@ -122,16 +123,17 @@
 	return freed
 }
 
-// maintenanceRecords decides what a pass writes. Answers without a position that new versions have put out of bound are
-// replaced at once, so that the trainer's fetch need not wait for it; those that only grew old wait for a fetch, since
-// nobody may be fetching. Handed-over steps beyond keepHandedOver are dropped.
+// maintenanceRecords returns the records of a maintenance pass. Answers without a position whose versions are out of bounds
+// are replaced at once, so that the trainer's fetch does not wait for new ones. Answers over the max age are replaced by a
+// fetch only, since samples would otherwise be generated again and again while no trainer fetches. Handed-over steps beyond
+// keepHandedOver are dropped.
 func maintenanceRecords(state *State, workload *bundle.Workload) []shard.Proposal {
 	limits := boundsOf(workload, state.Latest())
-	trainerAt := trainerStep(state)
+	newest := newestStepWithPositions(state)
 	var records []shard.Proposal
 	var handedOver []uint64
 	for _, step := range state.image.Steps {
-		if step.Step < trainerAt && step.handedOver() {
+		if step.Step < newest && step.handedOver() {
 			handedOver = append(handedOver, step.Step)
 		}
 		for _, index := range step.Ready {
@@ -150,8 +152,8 @@
 	return records[:min(len(records), maxMaintainRecords)]
 }
 
-// OnHandover readies a shard for its planned release: it gives out no more work. Calls in flight go on until the release.
-// It has the form of shard.Config.OnHandover and never blocks.
+// OnHandover prepares a shard for its planned release: no more samples of it are assigned. Calls in flight continue until
+// the release. It has the signature of shard.Config.OnHandover and never blocks.
 func (s *Service) OnHandover(_ context.Context, stream string) {
 	s.mutex.Lock()
 	current := s.sessions[stream]
@@ -162,5 +164,5 @@
 	current.mutex.Lock()
 	current.draining = true
 	current.mutex.Unlock()
-	current.work.raise()
+	current.work.notify()
 }
--- a/internal/stepledger/manager_test.go
+++ b/internal/stepledger/manager_test.go
@@ -14,7 +14,7 @@
 	"github.com/hillfork/hillfork/internal/standin/logservice"
 )
 
-// fixedPlacer places everything on this node.
+// fixedPlacer places all streams on this node.
 type fixedPlacer string
 
 func (p fixedPlacer) Owner(string, placement.Preference) (placement.Member, bool) {
@@ -23,8 +23,9 @@
 func (p fixedPlacer) Self() placement.Member   { return placement.Member{Node: string(p)} }
 func (p fixedPlacer) Changed() <-chan struct{} { return nil }
 
-// newManaged is a service over the real shard manager. It takes a snapshot after some records; 0 is the default.
-func newManaged(node string, log *logservice.Service, bundles *memoryBundles, snapshotEvery int) (*Service, *shard.Manager) {
+// newManagedService returns a service over the real shard manager, which writes a snapshot after snapshotEvery records; 0
+// selects the default.
+func newManagedService(node string, log *logservice.Service, bundles *memoryBundles, snapshotEvery int) (*Service, *shard.Manager) {
 	manager := shard.NewManager(shard.Config{
 		Log:      log,
 		Identity: shard.Identity{Node: node, Incarnation: 1},
@@ -35,29 +36,29 @@
 	return New(Config{Opener: manager, Bundles: bundles, Confirmer: bundles}), manager
 }
 
-// TestTwoManagersContend has two processes that both hold themselves for the owner take turns, over a log that loses
-// answers: the trainer still gets each sample once.
+// TestTwoManagersContend guards against samples that are delivered twice or lost while two processes both assume to own the
+// shard. They serve the trainer alternately over a log that loses responses.
 func TestTwoManagersContend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := logservice.New(logservice.Config{})
-		worlds := []*world{{t: t}, {t: t}}
+		envs := []*testEnv{{t: t}, {t: t}}
 		bundles := newBundles(testWorkload())
 		for i, node := range []string{"a", "b"} {
-			service, manager := newManaged(node, log, bundles, 4)
+			service, manager := newManagedService(node, log, bundles, 4)
 			defer manager.Close()
 			defer service.Close()
-			worlds[i].service = service
+			envs[i].service = service
 		}
 		log.LoseAnswers(2)
-		is.NoErr(retry(func() error { return worlds[0].step(2, 4) }))
+		is.NoErr(retry(func() error { return envs[0].step(2, 4) }))
 		seen := make(map[int]bool)
 		for turn := 0; len(seen) < 8; turn++ {
-			w := worlds[turn%2]
-			w.generate(2, 1)
+			env := envs[turn%2]
+			env.completeAll(2, 1)
 			var result *peerapi.FetchSamplesResult
 			is.NoErr(retry(func() (err error) {
-				result, err = w.fetch(2, len(seen), 1, 3)
+				result, err = env.fetch(2, len(seen), 1, 3)
 				return err
 			}))
 			log.LoseAnswers(turn % 2)
@@ -67,14 +68,14 @@
 				seen[sample.Index] = true
 			}
 		}
-		is.NoErr(worlds[0].publish(2))
-		list, err := worlds[0].service.ListSteps(context.Background(), &peerapi.ListSteps{Workload: testName})
+		is.NoErr(envs[0].publish(2))
+		list, err := envs[0].service.ListSteps(context.Background(), &peerapi.ListSteps{Workload: testWorkloadName})
 		is.NoErr(err)
 		is.Equal(list.Steps[0].Completed, 8)
 	})
 }
 
-// retry repeats an operation until it succeeds, at most ten times.
+// retry runs an operation up to ten times, until it succeeds.
 func retry(operation func() error) error {
 	var err error
 	for range 10 {
--- a/internal/stepledger/mutate.go
+++ b/internal/stepledger/mutate.go
@@ -8,18 +8,18 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// handoverTerms is the workload as the hand-over judges answers by it: the workload itself, unless a test has switched the
-// staleness check off.
-func (s *Service) handoverTerms(workload *bundle.Workload) *bundle.Workload {
+// handoverWorkload returns the workload whose limits apply at hand-over: the given one, or a copy without a staleness bound
+// if a test has disabled the staleness check.
+func (s *Service) handoverWorkload(workload *bundle.Workload) *bundle.Workload {
 	if !s.config.Mutations.Has(mutation.NoStalenessAtHandover) {
 		return workload
 	}
-	lax := *workload
-	lax.Staleness = nil
-	return &lax
+	relaxed := *workload
+	relaxed.Staleness = nil
+	return &relaxed
 }
 
-// mutatePlan takes the replacement of answers out of a plan where a test has switched it off.
+// mutatePlan removes the replacement of answers from a plan if a test has disabled it.
 func (s *Service) mutatePlan(plan *fetchPlan) {
 	if !s.config.Mutations.Has(mutation.NoReplacement) {
 		return
--- a/internal/stepledger/pull.go
+++ b/internal/stepledger/pull.go
@@ -13,20 +13,20 @@
 	"github.com/hillfork/hillfork/internal/stepledger/assign"
 )
 
-// maxAssignments bounds the samples given in one answer.
+// maxAssignments limits the samples assigned in one response.
 const maxAssignments = 256
 
-// PullWork gives samples to an engine. Without work for it, the answer is held until there is some, until a version newer
-// than KnownLatest is published, or until WaitMillis are over. FreeSlots 0 waits in the same way and takes nothing.
+// PullWork assigns samples to an engine. If there are none for it, the call waits until there are some, a version newer than
+// KnownLatest is published, or WaitMillis have passed. With FreeSlots 0 it waits for a backlog instead and assigns nothing.
 func (s *Service) PullWork(ctx context.Context, request *peerapi.PullWork) (*peerapi.PullWorkResult, error) {
 	if _, err := s.workload(request.Workload); err != nil {
 		return nil, err
 	}
-	current, err := s.open(ctx, request.Workload, request.Shard)
+	current, err := s.openSession(ctx, request.Workload, request.Shard)
 	if err != nil {
 		return nil, err
 	}
-	timer := time.NewTimer(waitTime(request.WaitMillis))
+	timer := time.NewTimer(boundedWait(request.WaitMillis))
 	defer timer.Stop()
 	for {
 		changed := current.work.changed()
@@ -36,7 +36,7 @@
 			return nil, err
 		}
 		result := current.pull(request, workload, time.Now())
-		if answersPull(request, result) {
+		if respondsAtOnce(request, result) {
 			return result, nil
 		}
 		again, err := current.wait(ctx, timer, changed, bundleChanged)
@@ -49,15 +49,15 @@
 	}
 }
 
-// answersPull reports whether a result is worth answering before the wait is over.
-func answersPull(request *peerapi.PullWork, result *peerapi.PullWorkResult) bool {
+// respondsAtOnce reports whether a result is returned before the wait is over.
+func respondsAtOnce(request *peerapi.PullWork, result *peerapi.PullWorkResult) bool {
 	if len(result.Assignments) > 0 || result.Latest > request.KnownLatest {
 		return true
 	}
 	return request.FreeSlots <= 0 && result.Backlog > 0
 }
 
-// pull takes samples for an engine, if there are any for it now.
+// pull assigns the samples that an engine can start now, if any.
 func (c *session) pull(request *peerapi.PullWork, workload *bundle.Workload, now time.Time) *peerapi.PullWorkResult {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -72,7 +72,7 @@
 		snapshot.ServedVersion = request.ServedVersion
 		snapshot.FreeSlots = min(request.FreeSlots, maxAssignments)
 		for _, choice := range assign.Decide(snapshot) {
-			assignment := c.give(state.step(choice.Step), choice.Index, request, workload, limits, now)
+			assignment := c.assignSample(state.step(choice.Step), choice.Index, request, workload, limits, now)
 			result.Assignments = append(result.Assignments, assignment)
 		}
 		waiting, oldest := backlog(snapshot, len(result.Assignments))
@@ -81,7 +81,7 @@
 	return result
 }
 
-// snapshot collects what the assignment decision depends on, the engine aside. The caller holds the mutex and the view.
+// snapshot returns the input of the assignment decision without the engine's fields. The caller holds the mutex and the view.
 func (c *session) snapshot(state *State, workload *bundle.Workload, limits bounds, now time.Time) assign.Snapshot {
 	snapshot := assign.Snapshot{
 		Latest:      state.Latest(),
@@ -97,36 +97,37 @@
 	c.applyPolicy(&snapshot, workload, now)
 	position, known := c.trainerPosition(state)
 	snapshot.PositionUnknown = !known
-	most := ShardsPerWorkload - 1
+	minLimit := ShardsPerWorkload - 1
 	if !known {
-		most = 0
+		minLimit = 0
 	}
-	farthest := most
+	maxLimit := minLimit
 	for _, step := range state.image.Steps {
 		if step.Completed < len(step.Samples) {
 			snapshot.Steps = append(snapshot.Steps, assign.Step{
-				Number: step.Step, Ahead: stepsAhead(step.Step, position, most), Distance: stepsAhead(step.Step, position, farthest),
+				Number: step.Step, MinStepsAhead: stepsAhead(step.Step, position, minLimit), MaxStepsAhead: stepsAhead(step.Step, position, maxLimit),
 				Samples: len(step.Samples), Candidates: c.candidates(step, now),
 			})
 		}
 		if step.Step < position {
 			continue
 		}
-		farthest += ShardsPerWorkload
+		maxLimit += ShardsPerWorkload
 		if !step.handedOver() {
-			most += ShardsPerWorkload
+			minLimit += ShardsPerWorkload
 		}
 	}
 	return snapshot
 }
 
-// longFactor is how many times the workload's mean length makes a sample a long one.
+// longFactor times the workload's mean answer length is the min predicted length of a long sample.
 const longFactor = 1.5
 
-// freshPatience is how long samples wait for engines to load a new version before they are begun on an older one.
-const freshPatience = 30 * time.Second
+// freshVersionTimeout is the max time for which samples wait for an engine with a new version before they are started on an
+// older one.
+const freshVersionTimeout = 30 * time.Second
 
-// applyPolicy sets what the workload's objective and the process's settings ask for. The caller holds the mutex.
+// applyPolicy sets the fields that depend on the workload's objective and the policy settings. The caller holds the mutex.
 func (c *session) applyPolicy(snapshot *assign.Snapshot, workload *bundle.Workload, now time.Time) {
 	settings := c.service.config.Policy
 	snapshot.ArrivalOrder = settings.ArrivalOrder
@@ -142,37 +143,38 @@
 		snapshot.LookAhead = policy.LookAheadFor(objective.IdleWeight, objective.StalenessWeight, behind)
 	}
 	if objective != nil && !settings.AnyVersion {
-		waiting := now.Sub(c.publishedAt) < freshPatience
+		waiting := now.Sub(c.publishedAt) < freshVersionTimeout
 		snapshot.FreshOnly = waiting && policy.PrefersFresh(objective.IdleWeight, objective.StalenessWeight)
 	}
 }
 
-// stepsAhead is how many steps the trainer is expected to take before a step, at most most: numbers may have gaps.
-func stepsAhead(step, position uint64, most int) int {
+// stepsAhead returns the number of steps that the trainer is expected to finish before a step. It is capped at limit, since
+// step numbers may have gaps.
+func stepsAhead(step, position uint64, limit int) int {
 	if step <= position {
 		return 0
 	}
-	return int(min(step-position, uint64(most)))
+	return int(min(step-position, uint64(limit)))
 }
 
-// trainerPosition estimates the step that the trainer wants or trains on now. A shard sees every second step only; in
-// between, each version published stands for a step. Where the shard has seen no fetch the oldest open step is taken, and
-// known is false.
+// trainerPosition estimates the step that the trainer fetches or trains on now. A shard receives the fetches of every
+// second step only, so each version published since the last fetch counts as one step. Before the first fetch it is the
+// newest step with positions. If there is none either, it is the oldest open step, and known is false.
 func (c *session) trainerPosition(state *State) (position uint64, known bool) {
-	if c.fetching > 0 {
-		position := c.fetching
-		if latest := state.Latest(); latest > c.fetchVersion {
-			position += latest - c.fetchVersion
+	if c.fetchedStep > 0 {
+		position := c.fetchedStep
+		if latest := state.Latest(); latest > c.fetchedVersion {
+			position += latest - c.fetchedVersion
 		}
 		return position, true
 	}
-	if given := trainerStep(state); given > 0 || len(state.image.Steps) == 0 {
-		return given, given > 0
+	if newest := newestStepWithPositions(state); newest > 0 || len(state.image.Steps) == 0 {
+		return newest, newest > 0
 	}
 	return state.image.Steps[0].Step, false
 }
 
-// shardInFlight is one shard's part of a workload's bound on samples running; 0 is no bound.
+// shardInFlight returns one shard's share of a workload's limit on running samples; 0 means no limit.
 func shardInFlight(maxInFlight int) int {
 	if maxInFlight <= 0 {
 		return 0
@@ -180,9 +182,9 @@
 	return max(maxInFlight/ShardsPerWorkload, 1)
 }
 
-// trainerStep is the newest step that the trainer has been given samples of. Older steps do not hold it back, so that a step
-// that the trainer skips does not stop those after it.
-func trainerStep(state *State) uint64 {
+// newestStepWithPositions returns the newest open step of which samples have positions; 0 if there is none. Older steps need
+// not have any, so that a step that the trainer skips does not block later ones.
+func newestStepWithPositions(state *State) uint64 {
 	for i := len(state.image.Steps) - 1; i >= 0; i-- {
 		if step := state.image.Steps[i]; len(step.Positions) > 0 {
 			return step.Step
@@ -191,7 +193,7 @@
 	return 0
 }
 
-// candidates lists the assignable samples of a step with their predicted lengths.
+// candidates returns the assignable samples of a step with their predicted lengths. The caller holds the mutex and the view.
 func (c *session) candidates(step *StepImage, now time.Time) []assign.Candidate {
 	if c.inherited[step.Step] && now.Before(c.graceEnds) {
 		return nil
@@ -199,24 +201,25 @@
 	candidates := make([]assign.Candidate, 0, len(step.Samples)-step.Completed)
 	mean := c.history.Mean()
 	for first := 0; first < len(step.Samples); first += step.SamplesPerPrompt {
-		group := len(candidates)
+		start := len(candidates)
 		for index := first; index < first+step.SamplesPerPrompt; index++ {
 			if step.waiting(index) && c.assignable(sampleKey{step: step.Step, index: index}, now) {
 				candidates = append(candidates, assign.Candidate{Index: index, Sibling: index - first})
 			}
 		}
-		if len(candidates) == group {
+		if len(candidates) == start {
 			continue
 		}
 		predicted := assign.Predict(c.siblings(step, first), mean, step.MaxTokens)
-		for i := range candidates[group:] {
-			candidates[group+i].Predicted = predicted
+		for i := range candidates[start:] {
+			candidates[start+i].Predicted = predicted
 		}
 	}
 	return candidates
 }
 
-// siblings collects what is known of the samples of the prompt whose first sample is first.
+// siblings summarizes the samples of the prompt whose first sample has the given index. The caller holds the mutex and the
+// view.
 func (c *session) siblings(step *StepImage, first int) assign.Siblings {
 	var known assign.Siblings
 	for index := first; index < first+step.SamplesPerPrompt; index++ {
@@ -232,20 +235,20 @@
 	return known
 }
 
-// backlog counts the samples that wait, those too far ahead of the trainer aside, once the first given have been taken
-// away. oldest is the first step that has any; 0 where none waits.
-func backlog(snapshot assign.Snapshot, given int) (count int, oldest uint64) {
+// backlog returns the number of startable samples that remain after the first assigned ones, and the oldest step that has
+// any of them; 0 if there is none.
+func backlog(snapshot assign.Snapshot, assigned int) (count int, oldest uint64) {
 	for _, step := range snapshot.Steps {
 		count += len(snapshot.Startable(step))
-		if count > given && oldest == 0 {
+		if count > assigned && oldest == 0 {
 			oldest = step.Number
 		}
 	}
-	return count - given, oldest
+	return count - assigned, oldest
 }
 
-// give starts an attempt for an engine. The caller holds the mutex and the view.
-func (c *session) give(
+// assignSample starts an attempt at a sample on an engine. The caller holds the mutex and the view.
+func (c *session) assignSample(
 	step *StepImage,
 	index int,
 	request *peerapi.PullWork,
@@ -271,18 +274,18 @@
 		MinVersion:      limits.minVersion,
 	}
 	oldest := request.ServedVersion
-	if rest := c.partials[key]; len(rest.tokens) > 0 && limits.acceptsSpans(rest.spans) {
+	if earlier := c.partials[key]; len(earlier.tokens) > 0 && limits.acceptsSpans(earlier.spans) {
 		c.service.counters.Resumed.Add(1)
-		assignment.Resume = rest.tokens
-		assignment.ResumeSpans = messageSpans(rest.spans)
-		oldest = min(oldest, oldestVersion(rest.spans))
+		assignment.Resume = earlier.tokens
+		assignment.ResumeSpans = messageSpans(earlier.spans)
+		oldest = min(oldest, oldestVersion(earlier.spans))
 	}
 	c.service.counters.Assigned.Add(1)
-	assignment.Attempt = c.start(key, request.Engine, oldest, now)
+	assignment.Attempt = c.startAttempt(key, request.Engine, oldest, now)
 	return assignment
 }
 
-// sampleSeed is the seed of a sample, the same for each of its attempts.
+// sampleSeed returns the seed of a sample, which is the same for all its attempts.
 func sampleSeed(workload string, key sampleKey) uint64 {
 	hash := xxhash.New()
 	var numbers [16]byte
--- a/internal/stepledger/records.go
+++ b/internal/stepledger/records.go
@@ -3,7 +3,7 @@
 //go:generate go tool msgp -file records.go -tests=false
 //msgp:limit arrays:131072
 
-// Kinds of record in a stream of the step ledger. Numbers are never reused.
+// Kinds of records in a stream of the step ledger. Their numbers are never reused.
 const (
 	KindStepSubmitted uint8 = iota + 1
 	KindVersionPublished
@@ -16,19 +16,20 @@
 	KindPromptsAdded
 )
 
-// StepSubmitted records a step and the first of its prompts, as packed tokens. Digest is the SHA-256 of the whole content.
-// Where the prompts are too large for one record, PromptsAdded records bring the rest.
+// StepSubmitted records a step and its first prompts, as packed tokens. Digest is the SHA-256 of the step's whole content.
+// Prompts that do not fit in the record follow in PromptsAdded records.
 type StepSubmitted struct {
 	Step   uint64 `msg:"s"`
 	Digest []byte `msg:"d"`
-	// PromptCount is the number of all prompts.
+	// PromptCount is the number of all prompts of the step.
 	PromptCount      int      `msg:"pc"`
 	Prompts          [][]byte `msg:"p"`
 	SamplesPerPrompt int      `msg:"n"`
 	MaxTokens        int      `msg:"m"`
 }
 
-// PromptsAdded records the prompts of a step from number First on. The step is whole once it has all.
+// PromptsAdded records further prompts of a step, starting at index First. Samples are assigned once the step has all its
+// prompts.
 type PromptsAdded struct {
 	Step    uint64   `msg:"s"`
 	Digest  []byte   `msg:"d"`
@@ -36,19 +37,19 @@
 	Prompts [][]byte `msg:"p"`
 }
 
-// VersionPublished records that the weight store holds a version of the workload's model.
+// VersionPublished records that the weight store contains a version of the workload's model.
 type VersionPublished struct {
 	Version uint64 `msg:"v"`
 }
 
-// VersionSpan says that tokens From (inclusive) to To (exclusive) came from Version.
+// VersionSpan is the weight version that generated the tokens from From (inclusive) to To (exclusive).
 type VersionSpan struct {
 	From    int    `msg:"f"`
 	To      int    `msg:"t"`
 	Version uint64 `msg:"v"`
 }
 
-// SampleCompleted records a whole answer. Payload is its packed tokens.
+// SampleCompleted records a complete answer. Payload holds its packed tokens.
 type SampleCompleted struct {
 	Step                uint64        `msg:"s"`
 	Index               int           `msg:"i"`
@@ -60,7 +61,7 @@
 	CompletedUnixMillis int64         `msg:"c"`
 }
 
-// SampleScored records the reward of one answer.
+// SampleScored records the reward of an answer.
 type SampleScored struct {
 	Step    uint64  `msg:"s"`
 	Index   int     `msg:"i"`
@@ -68,41 +69,41 @@
 	Reward  float64 `msg:"r"`
 }
 
-// AttemptAt names one answer.
+// AttemptAt identifies an answer by its sample and attempt.
 type AttemptAt struct {
 	Index   int    `msg:"i"`
 	Attempt uint32 `msg:"a"`
 }
 
-// PositionsAssigned gives the positions from First on to samples.
+// PositionsAssigned assigns consecutive positions, starting at First, to samples.
 type PositionsAssigned struct {
 	Step    uint64      `msg:"s"`
 	First   int         `msg:"f"`
 	Samples []AttemptAt `msg:"l"`
 }
 
-// SampleReplaced drops one answer, which can no longer be delivered in bound. The sample waits for a new attempt and keeps
-// its position if it has one.
+// SampleReplaced drops an answer that is over the staleness bound. The sample waits for a new attempt and keeps its position
+// if it has one.
 type SampleReplaced struct {
 	Step    uint64 `msg:"s"`
 	Index   int    `msg:"i"`
 	Attempt uint32 `msg:"a"`
 }
 
-// CursorAdvanced records that the trainer holds every position below Cursor.
+// CursorAdvanced records that the trainer has acknowledged every position below Cursor.
 type CursorAdvanced struct {
 	Step   uint64 `msg:"s"`
 	Cursor int    `msg:"c"`
 }
 
-// StepRetired drops a step; its digest is remembered.
+// StepRetired drops a step and keeps its digest.
 type StepRetired struct {
 	Step uint64 `msg:"s"`
 }
 
 // SampleImage is the durable state of one sample.
 type SampleImage struct {
-	// Complete says that the sample holds an answer, which the fields up to Reward describe.
+	// Complete is set if the sample has an answer, which the fields up to Reward describe.
 	Complete            bool          `msg:"c"`
 	Attempt             uint32        `msg:"a"`
 	Tokens              int           `msg:"t"`
@@ -111,7 +112,7 @@
 	CompletedUnixMillis int64         `msg:"m"`
 	Scored              bool          `msg:"sc"`
 	Reward              float64       `msg:"r"`
-	// Assigned says that Position belongs to this sample.
+	// Assigned is set if the sample has a position.
 	Assigned bool `msg:"as"`
 	Position int  `msg:"po"`
 }
@@ -120,39 +121,40 @@
 type StepImage struct {
 	Step   uint64 `msg:"s"`
 	Digest []byte `msg:"d"`
-	// Prompts holds the prompts recorded so far, of PromptCount.
+	// Prompts holds the prompts recorded so far, up to PromptCount.
 	Prompts          [][]byte `msg:"p"`
 	PromptCount      int      `msg:"pc"`
 	SamplesPerPrompt int      `msg:"n"`
 	MaxTokens        int      `msg:"m"`
 	// Samples is indexed by prompt index × SamplesPerPrompt + number within the prompt.
 	Samples []SampleImage `msg:"l"`
-	// Positions maps a position to the sample it belongs to.
+	// Positions maps each position to the index of its sample.
 	Positions []int `msg:"po"`
-	// Ready lists the samples that hold an answer and have no position, in order of completion.
+	// Ready lists the samples with an answer and without a position, in order of completion.
 	Ready []int `msg:"rd"`
 	// Cursor is the first position that the trainer has not acknowledged.
 	Cursor int `msg:"c"`
-	// Completed counts the samples that hold or have delivered an answer.
+	// Completed is the number of samples that have an answer, delivered ones included.
 	Completed int `msg:"k"`
 }
 
-// RetiredStep is what is remembered of a finished step.
+// RetiredStep is the state that is kept of a retired step.
 type RetiredStep struct {
 	Step    uint64 `msg:"s"`
 	Digest  []byte `msg:"d"`
 	Samples int    `msg:"n"`
-	// Acknowledged is the cursor at the time; below Samples, the last positions were handed over but never acknowledged.
+	// Acknowledged is the cursor at the time of retirement. If it is below Samples, the last positions were handed over but
+	// never acknowledged.
 	Acknowledged int `msg:"a"`
 }
 
-// Image is the whole durable state of a shard, as a snapshot holds it.
+// Image is the whole durable state of a shard as stored in a snapshot.
 type Image struct {
 	Latest uint64 `msg:"v"`
-	// Floor is one above the highest step that is no longer remembered; no step below it is taken.
+	// Floor is one above the highest step dropped from Retired. A step below it is refused unless it is still known.
 	Floor uint64 `msg:"f"`
 	// Steps is ordered by step number.
 	Steps []*StepImage `msg:"s"`
-	// Retired is ordered by time of retirement and holds at most maxRetired steps.
+	// Retired is ordered by time of retirement and holds up to maxRetired steps.
 	Retired []RetiredStep `msg:"r"`
 }
--- a/internal/stepledger/refusal.go
+++ b/internal/stepledger/refusal.go
@@ -8,15 +8,15 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// overloadRetryAfter is when a trainer that was refused for too many open steps may come back.
+// overloadRetryAfter is the retry delay sent to a trainer that has too many open steps.
 const overloadRetryAfter = 5 * time.Second
 
-// refuse builds the refusal that a caller sees.
+// refuse returns the error that a caller receives.
 func refuse(code peer.Code, message string) *peer.Error {
 	return &peer.Error{Code: code, Message: message}
 }
 
-// openRefusal turns an error of opening a shard into a refusal: nothing had any effect.
+// openRefusal converts an error of opening a shard to a refusal. The codes state that the call had no effect.
 func openRefusal(err error) error {
 	var refusal *peer.Error
 	if errors.As(err, &refusal) {
@@ -28,7 +28,7 @@
 	return refuse(peer.CodeNotReady, "shard cannot be opened: "+err.Error())
 }
 
-// writeRefusal turns an error of Append or Confirm into a refusal: only ErrNotOwner says that nothing took effect.
+// writeRefusal converts an error of Append or Confirm to a refusal. Only ErrNotOwner guarantees that the call had no effect.
 func writeRefusal(err error) error {
 	var refusal *peer.Error
 	if errors.As(err, &refusal) {
--- a/internal/stepledger/score.go
+++ b/internal/stepledger/score.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// maxScoring bounds the calls to the scorer that run at once for one shard.
+	// maxScoring limits the concurrent calls to the scorer for one shard.
 	maxScoring = 16
-	// scoreTimeout bounds one call to the scorer.
+	// scoreTimeout is the timeout of one call to the scorer.
 	scoreTimeout = 10 * time.Second
-	// maxScoreInterval bounds the time between two tries.
+	// maxScoreInterval is the max backoff interval between two attempts to score an answer.
 	maxScoreInterval = 5 * time.Second
 )
 
-// sampleID is the name under which a sample is scored.
+// sampleID returns the ID of a sample in calls to the scorer.
 func sampleID(key sampleKey) string {
 	return fmt.Sprintf("%d/%d", key.step, key.index)
 }
 
-// scoreJob is one answer to be scored.
+// scoreJob is an answer to be scored.
 type scoreJob struct {
 	key     sampleKey
 	attempt uint32
@@ -35,8 +35,8 @@
 	payload []byte
 }
 
-// score has the answers of the shard scored until the context ends, and waits for the calls that run.
-func (c *session) score(ctx context.Context) {
+// runScoring scores the answers of the shard until the context ends and waits for the calls in flight.
+func (c *session) runScoring(ctx context.Context) {
 	if c.service.config.Scorer == nil {
 		return
 	}
@@ -44,11 +44,11 @@
 	defer calls.Wait()
 	for {
 		bundleChanged := c.service.config.Bundles.Changed()
-		for _, job := range c.scoreJobs() {
+		for _, job := range c.nextScoreJobs() {
 			calls.Go(func() { c.scoreOne(ctx, job) })
 		}
 		select {
-		case <-c.unscored:
+		case <-c.scoreWakeup:
 		case <-bundleChanged:
 		case <-ctx.Done():
 			return
@@ -56,8 +56,8 @@
 	}
 }
 
-// scoreJobs picks answers to score, as many as may run, and marks them.
-func (c *session) scoreJobs() []scoreJob {
+// nextScoreJobs returns answers to score, up to the limit maxScoring, and marks them as being scored.
+func (c *session) nextScoreJobs() []scoreJob {
 	workload, err := c.service.workload(c.workload)
 	if err != nil || workload.Scorer == "" {
 		return nil
@@ -67,14 +67,15 @@
 	var jobs []scoreJob
 	c.view(func(state *State) {
 		for _, step := range state.image.Steps {
-			jobs = c.stepJobs(jobs, step)
+			jobs = c.appendScoreJobs(jobs, step)
 		}
 	})
 	return jobs
 }
 
-// stepJobs adds the unscored answers of a step to jobs. The caller holds the mutex and the view.
-func (c *session) stepJobs(jobs []scoreJob, step *StepImage) []scoreJob {
+// appendScoreJobs appends unscored answers of a step to jobs, up to the limit maxScoring, and marks them as being scored. The
+// caller holds the mutex and the view.
+func (c *session) appendScoreJobs(jobs []scoreJob, step *StepImage) []scoreJob {
 	if step.Cursor == len(step.Samples) {
 		return jobs
 	}
@@ -98,7 +99,7 @@
 	return jobs
 }
 
-// scoreOne scores one answer and records the reward, retrying until it is recorded or of no more use.
+// scoreOne scores one answer and records the reward. It retries until the reward is recorded or no longer needed.
 func (c *session) scoreOne(ctx context.Context, job scoreJob) {
 	policy := backoff.NewExponentialBackOff()
 	policy.MaxInterval = maxScoreInterval
@@ -111,10 +112,10 @@
 	c.mutex.Lock()
 	delete(c.scoring, job.key)
 	c.mutex.Unlock()
-	c.lookForUnscored()
+	c.wakeScoring()
 }
 
-// tryScore makes one try.
+// tryScore makes one attempt to score an answer and to record its reward.
 func (c *session) tryScore(ctx context.Context, job scoreJob) error {
 	workload, err := c.service.workload(c.workload)
 	if err != nil || !c.needsScore(workload, job) {
@@ -133,18 +134,18 @@
 		c.service.counters.ScoreErrors.Add(1)
 		return err
 	}
-	c.service.reach("score.before_append")
+	c.service.runFailpoint("score.before_append")
 	record := &SampleScored{Step: job.key.step, Index: job.key.index, Attempt: job.attempt, Reward: score.Reward}
 	if _, err := c.append(ctx, proposal(KindSampleScored, record)); err != nil {
 		return err
 	}
 	c.service.counters.Scored.Add(1)
-	c.service.reach("score.after_append")
-	c.ready.raise()
+	c.service.runFailpoint("score.after_append")
+	c.ready.notify()
 	return nil
 }
 
-// callScorer asks the scorer once. A score for another sample is an error.
+// callScorer makes one call to the scorer. A score for another sample is an error.
 func (c *session) callScorer(ctx context.Context, scorer string, key sampleKey, prompt, tokens []uint32) (platform.Score, error) {
 	ctx, cancel := context.WithTimeout(ctx, scoreTimeout)
 	defer cancel()
@@ -154,12 +155,12 @@
 		return platform.Score{}, err
 	}
 	if score.SampleID != id {
-		return platform.Score{}, fmt.Errorf("scorer answered for %q, asked for %q", score.SampleID, id)
+		return platform.Score{}, fmt.Errorf("scorer returned a score for sample %q instead of %q", score.SampleID, id)
 	}
 	return score, nil
 }
 
-// needsScore reports whether the job's answer is still there without a score.
+// needsScore reports whether the job's answer still exists, is not acknowledged and has no reward.
 func (c *session) needsScore(workload *bundle.Workload, job scoreJob) bool {
 	if workload.Scorer == "" {
 		return false
--- a/internal/stepledger/service.go
+++ b/internal/stepledger/service.go
@@ -18,47 +18,47 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// maxWait bounds every long poll, whatever the caller asks.
+// maxWait limits the time of every long poll, whatever the caller requests.
 const maxWait = time.Minute
 
-// Config is what a Service works with.
+// Config holds the dependencies and settings of a Service.
 type Config struct {
 	Opener    shard.Opener
 	Bundles   bundle.Source
 	Confirmer bundle.Confirmer
-	// Scorer judges the samples of workloads whose bundle names a scorer.
+	// Scorer returns the rewards of samples for workloads that name a scorer. If nil, no samples are scored.
 	Scorer platform.Scorer
 	// Logger may be nil.
 	Logger *log.Logger
 	// OnVersion, if set, is called after a version is durable in a shard of this process. It must not block.
 	OnVersion func(workload string, version uint64)
-	// Policy chooses how samples are handed out to engines.
+	// Policy configures how samples are assigned to engines.
 	Policy policy.Settings
-	// Failpoint, if set, is called between the steps of each operation with the step's name. Tests use it to stop an owner
+	// Failpoint, if set, is called with the name of each failpoint that an operation reaches. Tests use it to stop an owner
 	// there; it is nil in production.
 	Failpoint func(name string)
-	// Mutations switches mechanisms off; only tests set it.
+	// Mutations disables safety mechanisms. Only tests set it.
 	Mutations mutation.Set
 }
 
-// Service answers for the step shards that this process owns.
+// Service serves the step shards that this process owns.
 type Service struct {
 	config Config
 	logger *log.Logger
-	// ctx ends with Close.
+	// ctx is cancelled by Close.
 	ctx    context.Context
 	cancel context.CancelFunc
 	// background counts the goroutines of the sessions.
 	background sync.WaitGroup
 	counters   Counters
 
-	// mutex guards sessions and closed; it is held across neither I/O nor waits.
+	// mutex guards sessions and closed. It is not held across I/O or waits.
 	mutex    sync.Mutex
 	closed   bool
 	sessions map[string]*session
 }
 
-// New returns a service. Close ends its goroutines.
+// New returns a service. Close stops its goroutines.
 func New(config Config) *Service {
 	logger := cmp.Or(config.Logger, log.New(io.Discard))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -71,7 +71,7 @@
 	}
 }
 
-// Close ends all sessions and waits for their goroutines. Calls that wait are answered with CodeNotReady.
+// Close stops all sessions and waits for their goroutines. Waiting calls are refused with CodeNotReady.
 func (s *Service) Close() {
 	s.mutex.Lock()
 	s.closed = true
@@ -80,7 +80,7 @@
 	s.background.Wait()
 }
 
-// Register adds the ledger's methods to a process.
+// Register registers the ledger's RPC methods.
 func (s *Service) Register(registrar peer.Registrar) {
 	handle(registrar, peerapi.MethodSubmitStep, s.SubmitStep)
 	handle(registrar, peerapi.MethodFetchSamples, s.FetchSamples)
@@ -97,18 +97,18 @@
 	peer.Message
 }
 
-// handle registers a typed method.
+// handle registers a method with typed request and response.
 func handle[Q, R any, QP messageOf[Q], RP messageOf[R]](
 	registrar peer.Registrar,
 	method string,
-	answer func(context.Context, *Q) (*R, error),
+	call func(context.Context, *Q) (*R, error),
 ) {
 	registrar.HandleUnary(method, func(ctx context.Context, decode peer.Decode) (peer.Message, error) {
 		request := new(Q)
 		if err := decode(QP(request)); err != nil {
 			return nil, refuse(peer.CodeInvalid, "request does not decode: "+err.Error())
 		}
-		response, err := answer(ctx, request)
+		response, err := call(ctx, request)
 		if err != nil {
 			return nil, err
 		}
@@ -116,9 +116,9 @@
 	})
 }
 
-// ListSteps tells the state of the steps of one shard.
+// ListSteps returns the state of the open steps of one shard.
 func (s *Service) ListSteps(ctx context.Context, request *peerapi.ListSteps) (*peerapi.ListStepsResult, error) {
-	current, err := s.open(ctx, request.Workload, request.Shard)
+	current, err := s.openSession(ctx, request.Workload, request.Shard)
 	if err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 	return result, nil
 }
 
-// workload finds a training workload in the bundle in force.
+// workload returns a training workload of the bundle in force.
 func (s *Service) workload(name string) (*bundle.Workload, error) {
 	accepted := s.config.Bundles.Current()
 	if accepted == nil {
@@ -148,7 +148,7 @@
 	return trainingWorkload(accepted, name)
 }
 
-// trainingWorkload finds a training workload in a bundle.
+// trainingWorkload returns a training workload of a bundle.
 func trainingWorkload(accepted *bundle.Accepted, name string) (*bundle.Workload, error) {
 	workload := accepted.Bundle.Workload(name)
 	if workload == nil || workload.Kind != bundle.Training {
@@ -157,15 +157,15 @@
 	return workload, nil
 }
 
-// reach runs the failpoint of a step.
-func (s *Service) reach(name string) {
+// runFailpoint calls Config.Failpoint, if set, with the name of a failpoint.
+func (s *Service) runFailpoint(name string) {
 	if s.config.Failpoint != nil {
 		s.config.Failpoint(name)
 	}
 }
 
-// waitTime turns a caller's wait into a bounded duration.
-func waitTime(millis int64) time.Duration {
+// boundedWait converts a caller's wait to a duration from 0 to maxWait.
+func boundedWait(millis int64) time.Duration {
 	limit := maxWait.Milliseconds()
 	return time.Duration(min(max(millis, 0), limit)) * time.Millisecond
 }
--- a/internal/stepledger/session.go
+++ b/internal/stepledger/session.go
@@ -10,76 +10,76 @@
 	"github.com/hillfork/hillfork/internal/stepledger/assign"
 )
 
-// sampleKey names a sample of a shard.
+// sampleKey identifies a sample of a shard.
 type sampleKey struct {
 	step  uint64
 	index int
 }
 
-// attempt is one run of a sample on an engine.
+// attempt is the running attempt at a sample on an engine.
 type attempt struct {
-	number uint32
-	engine string
-	heard  time.Time
-	// tokens is how many the engine has reported.
+	number     uint32
+	engine     string
+	reportedAt time.Time
+	// tokens is the number of tokens that the engine has reported.
 	tokens int
-	// oldest is the oldest version of the attempt's tokens, as far as known.
+	// oldest is the oldest known weight version of the attempt's tokens.
 	oldest uint64
 }
 
-// partial is what a failed attempt left behind.
+// partial is the partial answer of a failed attempt.
 type partial struct {
 	tokens []uint32
 	spans  []VersionSpan
 }
 
-// session is the volatile side of one owned shard. It lives as long as its owner.
+// session is the volatile state of an owned shard. Its lifetime is that of its owner.
 type session struct {
 	service  *Service
 	owner    shard.Owner
 	workload string
-	// ctx ends when the owner is done or the service closes.
+	// ctx is the service's context, which ends when the service closes.
 	ctx context.Context
-	// work is signalled when a sample may have become assignable or a version was published, and ready when an answer may
-	// have become deliverable or a step was submitted.
+	// work is notified when a sample may have become assignable or a version was published. ready is notified when an answer
+	// may have become deliverable, a step was submitted or a version was published.
 	work  signal
 	ready signal
-	// unscored has room for one token: there may be samples to score.
-	unscored chan struct{}
+	// scoreWakeup has a capacity of one. A value in it means that there may be samples to score.
+	scoreWakeup chan struct{}
 
-	// mutex guards what follows. It is taken before the shard's lock.
+	// mutex guards the following fields. It is acquired before the shard's lock.
 	mutex sync.Mutex
-	// inherited holds the incomplete steps that were there when the shard was opened; until graceEnds their samples may
-	// still run for the previous owner and are not assigned anew.
+	// inherited holds the steps that were incomplete when the shard was opened. Attempts of the previous owner may still be
+	// running for them, so their samples are not assigned before graceEnds.
 	inherited map[uint64]bool
 	graceEnds time.Time
 	draining  bool
-	// fetching is the newest step that the trainer has asked for, and fetchVersion the trainer's version then.
-	fetching     uint64
-	fetchVersion uint64
-	// publishedAt is when this process learned of the newest version.
+	// fetchedStep is the newest step that the trainer has fetched, and fetchedVersion the trainer's version at that time.
+	fetchedStep    uint64
+	fetchedVersion uint64
+	// publishedAt is the time at which this process learned of the newest version.
 	publishedAt time.Time
-	// startable tells whether samples could be begun at the last look.
-	startable bool
-	running   map[sampleKey]*attempt
-	partials  map[sampleKey]partial
-	failures  map[sampleKey]failure
-	numbers   map[sampleKey]uint32
-	// voided is the last attempt of a sample that was given up because its tokens are over the bound; a report does not
-	// bring it back.
+	// hadStartable is set if samples could be started at the last maintenance pass.
+	hadStartable  bool
+	running       map[sampleKey]*attempt
+	partials      map[sampleKey]partial
+	failures      map[sampleKey]failure
+	attemptCounts map[sampleKey]uint32
+	// voided is the last attempt at a sample that was abandoned because its tokens are over the staleness bound. A late
+	// report does not revive it.
 	voided  map[sampleKey]uint32
 	scoring map[sampleKey]bool
 	history assign.History
 }
 
-// failure delays a sample whose attempts fail.
+// failure delays the next attempt at a sample after failed ones.
 type failure struct {
 	count     int
 	notBefore time.Time
 }
 
-// open returns the session of a shard, creating it where this process has become the owner.
-func (s *Service) open(ctx context.Context, workload string, shardNumber int) (*session, error) {
+// openSession returns the session of a shard. It creates the session if this process has become the owner.
+func (s *Service) openSession(ctx context.Context, workload string, shardNumber int) (*session, error) {
 	if shardNumber < 0 || shardNumber >= ShardsPerWorkload {
 		return nil, refuse(peer.CodeInvalid, "no such shard")
 	}
@@ -103,29 +103,29 @@
 	return current, nil
 }
 
-// newSession creates the volatile state of a shard just opened.
+// newSession returns the session of a shard that was just opened.
 func (s *Service) newSession(owner shard.Owner, workload string) *session {
 	current := &session{
-		service:   s,
-		owner:     owner,
-		workload:  workload,
-		ctx:       s.ctx,
-		unscored:  make(chan struct{}, 1),
-		inherited: make(map[uint64]bool),
-		graceEnds: time.Now().Add(adoptionGrace),
-		running:   make(map[sampleKey]*attempt),
-		partials:  make(map[sampleKey]partial),
-		failures:  make(map[sampleKey]failure),
-		numbers:   make(map[sampleKey]uint32),
-		voided:    make(map[sampleKey]uint32),
-		scoring:   make(map[sampleKey]bool),
+		service:       s,
+		owner:         owner,
+		workload:      workload,
+		ctx:           s.ctx,
+		scoreWakeup:   make(chan struct{}, 1),
+		inherited:     make(map[uint64]bool),
+		graceEnds:     time.Now().Add(adoptionGrace),
+		running:       make(map[sampleKey]*attempt),
+		partials:      make(map[sampleKey]partial),
+		failures:      make(map[sampleKey]failure),
+		attemptCounts: make(map[sampleKey]uint32),
+		voided:        make(map[sampleKey]uint32),
+		scoring:       make(map[sampleKey]bool),
 	}
-	current.view(current.inherit)
+	current.view(current.initFromState)
 	return current
 }
 
-// inherit takes from the durable state what the volatile state starts with.
-func (c *session) inherit(state *State) {
+// initFromState initializes the inherited steps and the history of answer lengths from the durable state.
+func (c *session) initFromState(state *State) {
 	for _, step := range state.image.Steps {
 		if step.Completed < len(step.Samples) {
 			c.inherited[step.Step] = true
@@ -138,12 +138,12 @@
 	}
 }
 
-// runSession does the background work of a session until its owner is done, then forgets it.
+// runSession runs the background work of a session until its owner is done or the service closes, then removes the session.
 func (s *Service) runSession(stream string, current *session) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
 	var scorers sync.WaitGroup
-	scorers.Go(func() { current.score(ctx) })
+	scorers.Go(func() { current.runScoring(ctx) })
 	current.maintain(ctx)
 	cancel()
 	scorers.Wait()
@@ -154,25 +154,25 @@
 	s.mutex.Unlock()
 }
 
-// view reads the durable state. read must not block, and keep nothing but immutable slices.
+// view calls read with the durable state. read must not block and must not retain anything but immutable slices.
 func (c *session) view(read func(*State)) {
 	c.owner.View(func(state shard.State) { read(state.(*State)) })
 }
 
 // append writes records and returns their outcomes.
 func (c *session) append(ctx context.Context, proposals ...shard.Proposal) ([]Outcome, error) {
-	answers, err := c.owner.Append(ctx, proposals...)
+	results, err := c.owner.Append(ctx, proposals...)
 	if err != nil {
 		return nil, writeRefusal(err)
 	}
-	outcomes := make([]Outcome, len(answers))
-	for i, answer := range answers {
-		outcomes[i] = answer.(Outcome)
+	outcomes := make([]Outcome, len(results))
+	for i, result := range results {
+		outcomes[i] = result.(Outcome)
 	}
 	return outcomes, nil
 }
 
-// confirm proves that this process owned the shard at a moment after the call began.
+// confirm proves that this process owned the shard at some time after the start of the call.
 func (c *session) confirm(ctx context.Context) error {
 	if err := c.owner.Confirm(ctx); err != nil {
 		return writeRefusal(err)
@@ -180,8 +180,8 @@
 	return nil
 }
 
-// wait blocks until one of the channels is closed. False says that the time is up or the caller gone; the error is that
-// of an owner that is done.
+// wait blocks until one of the channels is closed and returns true. It returns false if the timer fires or the caller's
+// context ends, and an error if the owner is done or the service closes.
 func (c *session) wait(ctx context.Context, timer *time.Timer, changed, bundleChanged <-chan struct{}) (bool, error) {
 	select {
 	case <-changed:
@@ -210,13 +210,13 @@
 	return counts
 }
 
-// signal wakes all who wait for a change. The zero value is ready.
+// signal notifies all waiting goroutines of a change. The zero value is ready to use.
 type signal struct {
 	mutex   sync.Mutex
 	channel chan struct{}
 }
 
-// changed returns a channel that the next raise closes.
+// changed returns a channel that the next call of notify closes.
 func (s *signal) changed() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -226,8 +226,8 @@
 	return s.channel
 }
 
-// raise wakes all who wait.
-func (s *signal) raise() {
+// notify closes the channels returned by changed since the last call.
+func (s *signal) notify() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.channel != nil {
--- a/internal/stepledger/staleness.go
+++ b/internal/stepledger/staleness.go
@@ -6,15 +6,15 @@
 	"github.com/hillfork/hillfork/internal/bundle"
 )
 
-// maxHandoverAllowance and handoverAllowanceParts set how much of the age bound is kept back for the way from the
-// hand-over check to the trainer: a twentieth of the bound, at most half a second.
+// maxHandoverAllowance and handoverAllowanceParts determine the part of the max age that is reserved for the time from the
+// hand-over check to the arrival at the trainer: a twentieth of the max age, but no more than half a second.
 const (
 	maxHandoverAllowance   = 500 * time.Millisecond
 	handoverAllowanceParts = 20
 )
 
-// spansCover reports whether spans name a version for every one of the tokens exactly once, in order. An answer without
-// tokens names no version and so is never covered.
+// spansCover reports whether spans cover every token exactly once and in order. It returns false for an answer without
+// tokens, which has no version.
 func spansCover(spans []VersionSpan, tokens int) bool {
 	if tokens <= 0 {
 		return false
@@ -29,7 +29,7 @@
 	return next == tokens
 }
 
-// oldestVersion is the lowest version in spans, which must not be empty.
+// oldestVersion returns the lowest version of spans, which must not be empty.
 func oldestVersion(spans []VersionSpan) uint64 {
 	oldest := spans[0].Version
 	for _, span := range spans[1:] {
@@ -38,16 +38,16 @@
 	return oldest
 }
 
-// bounds is what a workload's bundle asks of an answer, worked out against a trainer's version.
+// bounds limits the versions and the age of answers that may be delivered, for a workload and a version of its trainer.
 type bounds struct {
 	minVersion uint64
-	// maxVersion 0 is no bound.
+	// maxVersion 0 means no limit.
 	maxVersion uint64
-	// maxAge 0 is no bound.
+	// maxAge 0 means no limit.
 	maxAge time.Duration
 }
 
-// boundsOf works out the bounds in force when the newest version the trainer has published is latest.
+// boundsOf returns the bounds of a workload if latest is the newest version that the trainer has published.
 func boundsOf(workload *bundle.Workload, latest uint64) bounds {
 	result := bounds{minVersion: workload.MinVersion, maxVersion: workload.MaxVersion}
 	if workload.Staleness == nil {
@@ -63,12 +63,12 @@
 // unbounded accepts every answer.
 var unbounded = bounds{}
 
-// acceptsVersion reports whether tokens of the version may be delivered.
+// acceptsVersion reports whether tokens of a version may be delivered.
 func (b bounds) acceptsVersion(version uint64) bool {
 	return version >= b.minVersion && (b.maxVersion == 0 || version <= b.maxVersion)
 }
 
-// acceptsSpans reports whether every token's version may be delivered.
+// acceptsSpans reports whether the versions of all tokens may be delivered.
 func (b bounds) acceptsSpans(spans []VersionSpan) bool {
 	for _, span := range spans {
 		if !b.acceptsVersion(span.Version) {
@@ -78,7 +78,7 @@
 	return true
 }
 
-// acceptsAge reports whether an answer completed at a time may still be handed over now.
+// acceptsAge reports whether an answer of the given completion time may still be handed over now.
 func (b bounds) acceptsAge(completedUnixMillis int64, now time.Time) bool {
 	if b.maxAge <= 0 {
 		return true
@@ -87,7 +87,7 @@
 	return now.Sub(time.UnixMilli(completedUnixMillis)) <= b.maxAge-allowance
 }
 
-// accepts reports whether the answer of a sample may be handed over now.
+// accepts reports whether the answer to a sample may be handed over now.
 func (b bounds) accepts(sample *SampleImage, now time.Time) bool {
 	return b.acceptsSpans(sample.Spans) && b.acceptsAge(sample.CompletedUnixMillis, now)
 }
--- a/internal/stepledger/state.go
+++ b/internal/stepledger/state.go
@@ -8,32 +8,32 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// maxRetired bounds the finished steps that a shard remembers.
+// maxRetired limits the retired steps whose digests a shard keeps.
 const maxRetired = 256
 
-// maxSamples bounds the samples of a step whatever the bundle says, so that no record can claim unbounded memory.
+// maxSamples limits the samples of a step independently of the bundle, so that no record can allocate unbounded memory.
 const maxSamples = 65536
 
-// Outcome is what folding one record did.
+// Outcome is the result of applying a record to the state.
 type Outcome uint8
 
-// Outcomes of a record. All but OutcomeRecorded left the state as it was.
+// Outcomes of a record. All but OutcomeRecorded leave the state unchanged.
 const (
 	OutcomeRecorded Outcome = iota + 1
-	// OutcomeDuplicate says that the record's effect was there already.
+	// OutcomeDuplicate means that the state already includes the effect of the record.
 	OutcomeDuplicate
-	// OutcomeConflict says that the record contradicts the state.
+	// OutcomeConflict means that the record contradicts the state.
 	OutcomeConflict
-	// OutcomeUnknown says that there is no such step or sample.
+	// OutcomeUnknown means that there is no such step or sample.
 	OutcomeUnknown
-	// OutcomeMalformed says that the body breaks the form of its kind.
+	// OutcomeMalformed means that the kind is unknown or the body is not valid for it.
 	OutcomeMalformed
 )
 
-// errSnapshot says that a snapshot breaks an invariant of the state.
+// errSnapshot is returned for a snapshot that violates an invariant of the state.
 var errSnapshot = errors.New("step ledger snapshot is inconsistent")
 
-// State is the durable state of one shard: a deterministic fold of its records. It implements shard.State.
+// State is the durable state of a shard: a deterministic fold over its records. It implements shard.State.
 type State struct {
 	image Image
 }
@@ -45,12 +45,12 @@
 	return &State{}
 }
 
-// Snapshot encodes the state, payloads that are not acknowledged yet included.
+// Snapshot returns the encoded state, including the payloads that are not acknowledged.
 func (s *State) Snapshot() ([]byte, error) {
 	return s.image.MarshalMsg(nil)
 }
 
-// Restore replaces the state by an encoded one; on an error the state is unchanged.
+// Restore replaces the state by an encoded one. If it returns an error, the state is unchanged.
 func (s *State) Restore(snapshot []byte) error {
 	var image Image
 	rest, err := image.UnmarshalMsg(snapshot)
@@ -64,12 +64,12 @@
 	return nil
 }
 
-// Latest is the newest published version; 0 before the first.
+// Latest returns the newest published version; 0 if there is none.
 func (s *State) Latest() uint64 {
 	return s.image.Latest
 }
 
-// step finds a step that is not retired; nil where there is none.
+// step returns an open step, or nil if there is no such step.
 func (s *State) step(number uint64) *StepImage {
 	at, found := s.search(number)
 	if !found {
@@ -78,14 +78,14 @@
 	return s.image.Steps[at]
 }
 
-// search finds the place of a step number in the ordered list.
+// search returns the index of a step in the ordered list, or the index to insert it at, and whether it is there.
 func (s *State) search(number uint64) (int, bool) {
 	return slices.BinarySearchFunc(s.image.Steps, number, func(step *StepImage, number uint64) int {
 		return cmp.Compare(step.Step, number)
 	})
 }
 
-// retired finds a finished step that is still remembered; nil where there is none.
+// retired returns a retired step whose digest is kept, or nil if there is no such step.
 func (s *State) retired(number uint64) *RetiredStep {
 	for i := range s.image.Retired {
 		if s.image.Retired[i].Step == number {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// consistent reports whether the image keeps the invariants that the fold relies on.
+// consistent reports whether the image satisfies the invariants on which the fold relies.
 func (m *Image) consistent() bool {
 	for i, step := range m.Steps {
 		if step == nil || !step.consistent() {
@@ -108,7 +108,8 @@
 	return len(m.Retired) <= maxRetired
 }
 
-// consistent reports whether positions and ready list refer to samples, each at most once.
+// consistent reports whether the step satisfies its invariants: its numbers are in range, its positions and ready list refer
+// to each sample at most once, and its samples are consistent.
 func (t *StepImage) consistent() bool {
 	count, ok := sampleCount(t.PromptCount, t.SamplesPerPrompt)
 	if !ok || len(t.Prompts) > t.PromptCount || count != len(t.Samples) || t.Cursor < 0 || t.Cursor > len(t.Positions) {
@@ -124,7 +125,8 @@
 	return t.samplesConsistent()
 }
 
-// samplesConsistent reports whether samples, positions, ready list and count agree and every payload can be read.
+// samplesConsistent reports whether the samples agree with the positions, the ready list and the count of completed samples,
+// and whether all prompts and all payloads of undelivered answers are valid.
 func (t *StepImage) samplesConsistent() bool {
 	for position, index := range t.Positions {
 		if sample := &t.Samples[index]; !sample.Assigned || sample.Position != position {
@@ -158,7 +160,7 @@
 	return counted && validPrompts(t.Prompts)
 }
 
-// sampleCount multiplies within maxSamples; false when there are none or too many.
+// sampleCount returns the number of samples of a step; false if there are none or more than maxSamples.
 func sampleCount(prompts, perPrompt int) (int, bool) {
 	if prompts <= 0 || perPrompt <= 0 || prompts > maxSamples || perPrompt > maxSamples {
 		return 0, false
@@ -173,7 +175,7 @@
 	return sample.Assigned && sample.Position < t.Cursor
 }
 
-// waiting reports whether the sample needs an attempt. The samples of a step that is not whole do not.
+// waiting reports whether the sample needs an answer. It returns false while prompts of the step are missing.
 func (t *StepImage) waiting(index int) bool {
 	return len(t.Prompts) == t.PromptCount && !t.Samples[index].Complete && !t.delivered(index)
 }
@@ -183,7 +185,7 @@
 	return len(t.Positions) == len(t.Samples) && t.Completed == len(t.Samples)
 }
 
-// promptOf is the prompt of a sample.
+// promptOf returns the index of a sample's prompt.
 func (t *StepImage) promptOf(index int) int {
 	return index / t.SamplesPerPrompt
 }
--- a/internal/stepledger/stream.go
+++ b/internal/stepledger/stream.go
@@ -5,36 +5,36 @@
 	"strings"
 )
 
-// ShardsPerWorkload is the number of streams that the steps of a workload are spread over.
+// ShardsPerWorkload is the number of streams among which the steps of a workload are distributed.
 const ShardsPerWorkload = 2
 
-// streamPrefix starts the name of every stream of the step ledger.
+// streamPrefix is the prefix of the names of the step ledger's streams.
 const streamPrefix = "steps/"
 
-// StreamName is the log stream of one shard of a workload.
+// StreamName returns the name of the log stream of a workload's shard.
 func StreamName(workload string, shard int) string {
 	return streamPrefix + workload + "/" + strconv.Itoa(shard)
 }
 
-// ShardOf is the shard that a step belongs to.
+// ShardOf returns the number of the shard to which a step belongs.
 func ShardOf(step uint64) int {
 	return int(step % ShardsPerWorkload)
 }
 
-// ParseStream splits a stream name; false when it is no stream of the step ledger.
+// ParseStream returns the workload and shard of a stream name. ok is false if the stream does not belong to the step ledger.
 func ParseStream(stream string) (workload string, shard int, ok bool) {
-	rest, found := strings.CutPrefix(stream, streamPrefix)
+	name, found := strings.CutPrefix(stream, streamPrefix)
 	if !found {
 		return "", 0, false
 	}
-	slash := strings.LastIndexByte(rest, '/')
+	slash := strings.LastIndexByte(name, '/')
 	if slash <= 0 {
 		return "", 0, false
 	}
-	shard, err := strconv.Atoi(rest[slash+1:])
+	shard, err := strconv.Atoi(name[slash+1:])
 	if err != nil || shard < 0 || shard >= ShardsPerWorkload {
 		return "", 0, false
 	}
-	workload = rest[:slash]
+	workload = name[:slash]
 	return workload, shard, StreamName(workload, shard) == stream
 }
--- a/internal/stepledger/submit.go
+++ b/internal/stepledger/submit.go
@@ -14,24 +14,26 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// maxPromptTokens and maxAnswerTokens bound a prompt and an answer whatever the bundle says, so that each fits one record
-// of the log at up to 5 bytes a token.
+// maxPromptTokens and maxAnswerTokens limit a prompt and an answer independently of the bundle, so that each fits in one
+// record of the log at up to 5 bytes per token.
 const (
 	maxPromptTokens = 200_000
 	maxAnswerTokens = 200_000
 )
 
-// maxOpenSteps bounds the steps of a shard that are not retired.
+// maxOpenSteps limits the steps of a shard that are not retired.
 const maxOpenSteps = 256
 
-// maxPromptBytes bounds the packed prompts of one record, and promptOverhead is what a prompt takes besides.
+// maxPromptBytes limits the size of the packed prompts of one record. promptOverhead is the additional encoded size of each
+// prompt, in bytes.
 const (
 	maxPromptBytes = 512 << 10
 	promptOverhead = 5
 )
 
-// SubmitStep records a step; it is durable when the answer is sent. The same step again is the same answer, and with
-// other content CodeConflict. What breaks the bundle's limits is CodeInvalid.
+// SubmitStep records a step, which is durable when the call returns. Submitting the same step again returns the same
+// response; other content for a known step is refused with CodeConflict, and a step over the bundle's limits with
+// CodeInvalid.
 func (s *Service) SubmitStep(ctx context.Context, request *peerapi.SubmitStep) (*peerapi.SubmitStepResult, error) {
 	workload, err := s.workload(request.Workload)
 	if err != nil {
@@ -41,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	current, err := s.open(ctx, request.Workload, ShardOf(request.Step))
+	current, err := s.openSession(ctx, request.Workload, ShardOf(request.Step))
 	if err != nil {
 		return nil, err
 	}
@@ -49,23 +51,23 @@
 		return nil, err
 	}
 	for _, record := range stepRecords(request) {
-		s.reach("submit.before_append")
+		s.runFailpoint("submit.before_append")
 		outcomes, err := current.append(ctx, record)
 		if err != nil {
 			return nil, err
 		}
-		s.reach("submit.after_append")
+		s.runFailpoint("submit.after_append")
 		if err := submitRefusal(outcomes[0], request.Step); err != nil {
 			return nil, err
 		}
 	}
 	s.counters.Steps.Add(1)
-	current.work.raise()
-	current.ready.raise()
+	current.work.notify()
+	current.ready.notify()
 	return &peerapi.SubmitStepResult{Samples: count}, nil
 }
 
-// submitRefusal is the refusal that an outcome stands for; nil when the record took effect, now or earlier.
+// submitRefusal converts an outcome to a refusal; nil if this record or an earlier one took effect.
 func submitRefusal(outcome Outcome, step uint64) error {
 	switch outcome {
 	case OutcomeRecorded, OutcomeDuplicate:
@@ -77,7 +79,7 @@
 	}
 }
 
-// admitStep refuses a new step when too many are open.
+// admitStep returns a refusal for a new step if maxOpenSteps are open.
 func (c *session) admitStep(number uint64) error {
 	full := false
 	c.view(func(state *State) {
@@ -92,7 +94,7 @@
 	return refusal
 }
 
-// checkStep checks a step against the limits and returns how many samples it has.
+// checkStep validates a step against the limits and returns the number of its samples.
 func checkStep(request *peerapi.SubmitStep, limits bundle.Limits) (int, error) {
 	count, ok := sampleCount(len(request.Prompts), request.SamplesPerPrompt)
 	if !ok {
@@ -114,7 +116,7 @@
 	return count, nil
 }
 
-// stepRecords builds the records of a step: usually one, more where the prompts are too large for it.
+// stepRecords returns the records of a step: one, or more if the prompts exceed maxPromptBytes.
 func stepRecords(request *peerapi.SubmitStep) []shard.Proposal {
 	record := &StepSubmitted{
 		Step:             request.Step,
@@ -139,7 +141,7 @@
 	return proposals
 }
 
-// promptsThatFit counts the leading prompts that go into one record, at least one.
+// promptsThatFit returns the number of leading prompts that fit in one record, at least one.
 func promptsThatFit(prompts [][]byte) int {
 	size := 0
 	for i, prompt := range prompts {
@@ -151,7 +153,7 @@
 	return len(prompts)
 }
 
-// stepDigest is the SHA-256 of a step's content, each part preceded by its length.
+// stepDigest returns the SHA-256 of a step's content, with each prompt preceded by its length.
 func stepDigest(record *StepSubmitted) []byte {
 	hash := sha256.New()
 	var number [8]byte
--- a/internal/stepledger/tokens.go
+++ b/internal/stepledger/tokens.go
@@ -6,10 +6,11 @@
 	"math"
 )
 
-// errTokens says that a packed token sequence is malformed.
+// errTokens is returned for a malformed packed token sequence.
 var errTokens = errors.New("packed tokens are malformed")
 
-// packTokens encodes tokens as unsigned varints: 3 bytes for a token of a vocabulary of up to 2 million.
+// packTokens encodes tokens as unsigned varints, which take up to 3 bytes per token for vocabularies of up to 2 million
+// tokens.
 func packTokens(tokens []uint32) []byte {
 	packed := make([]byte, 0, 3*len(tokens))
 	for _, token := range tokens {
@@ -18,7 +19,7 @@
 	return packed
 }
 
-// unpackTokens is the inverse of packTokens.
+// unpackTokens decodes tokens encoded by packTokens.
 func unpackTokens(packed []byte) ([]uint32, error) {
 	tokens := make([]uint32, 0, countTokens(packed))
 	for len(packed) > 0 {
@@ -32,7 +33,7 @@
 	return tokens, nil
 }
 
-// countTokens counts the tokens of a well-formed packed sequence.
+// countTokens returns the number of tokens in a well-formed packed sequence.
 func countTokens(packed []byte) int {
 	count := 0
 	for _, b := range packed {
@@ -43,7 +44,7 @@
 	return count
 }
 
-// validTokens reports whether packed decodes.
+// validTokens reports whether packed can be decoded.
 func validTokens(packed []byte) bool {
 	for len(packed) > 0 {
 		token, size := binary.Uvarint(packed)
