--- a/internal/dispatch/assembler.go
+++ b/internal/dispatch/assembler.go
@@ -10,25 +10,25 @@
 	"github.com/hillfork/hillfork/internal/reorder"
 )
 
-// assembler puts the chunks of one attempt in order. It belongs to one goroutine.
+// assembler puts the chunks of one attempt in order. It is not safe for concurrent use.
 type assembler struct {
 	requestID string
 	attempt   uint32
 	tokens    *reorder.Buffer[platform.Chunk]
-	// total is the length of the whole answer; negative until the finishing chunk came.
+	// total is the length of the complete answer in tokens; negative until the finishing chunk has arrived.
 	total int
-	// foreign counts chunks of other requests and attempts.
+	// foreign counts the dropped chunks of other requests and attempts.
 	foreign int
-	// mutations switches the checks of chunks off; only tests set it.
+	// mutations disables the checks of chunks; only tests set it.
 	mutations mutation.Set
 }
 
-// newAssembler expects the chunks of an attempt that goes on after resumed tokens.
+// newAssembler returns an assembler for an attempt that continues after resumed tokens.
 func newAssembler(requestID string, attempt uint32, resumed int) *assembler {
-	return &assembler{requestID: requestID, attempt: attempt, tokens: reorder.NewBuffer(chunkShape, resumed), total: -1}
+	return &assembler{requestID: requestID, attempt: attempt, tokens: reorder.NewBuffer(chunkAccessors, resumed), total: -1}
 }
 
-var chunkShape = reorder.Shape[platform.Chunk]{
+var chunkAccessors = reorder.Shape[platform.Chunk]{
 	Index:  func(chunk platform.Chunk) int { return chunk.Index },
 	Length: func(chunk platform.Chunk) int { return len(chunk.Tokens) },
 	Skip: func(chunk platform.Chunk, tokens int) platform.Chunk {
@@ -38,15 +38,15 @@
 	},
 }
 
-// whole tells whether every token of a finished answer has arrived.
-func (a *assembler) whole() bool {
+// complete reports whether every token of a finished answer has arrived.
+func (a *assembler) complete() bool {
 	return a.total >= 0 && a.tokens.Next() >= a.total
 }
 
-// receive hands the chunks of a stream to take, in order, until the answer is whole. It ends with the first error of either, and with
-// io.ErrUnexpectedEOF where the stream ends before the answer.
-func (a *assembler) receive(stream platform.ChunkStream, take func(platform.Chunk) error) error {
-	for !a.whole() {
+// receive passes the chunks of a stream to handle, in order, until the answer is complete. It returns the first error
+// of the stream or of handle, and io.ErrUnexpectedEOF if the stream ends before the answer is complete.
+func (a *assembler) receive(stream platform.ChunkStream, handle func(platform.Chunk) error) error {
+	for !a.complete() {
 		chunk, err := stream.Receive()
 		if errors.Is(err, io.EOF) {
 			return io.ErrUnexpectedEOF
@@ -55,7 +55,7 @@
 			return err
 		}
 		for _, ready := range a.add(chunk) {
-			if err := take(ready); err != nil {
+			if err := handle(ready); err != nil {
 				return err
 			}
 		}
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// add takes a chunk in and returns the chunks that are ready now: in order, without a gap or an overlap.
+// add adds a chunk and returns the chunks that are ready: in order, without gaps or overlaps.
 func (a *assembler) add(chunk platform.Chunk) []platform.Chunk {
 	foreign := chunk.RequestID != a.requestID || chunk.Attempt != a.attempt
 	if foreign && !a.mutations.Has(mutation.KeepForeignChunks) {
@@ -83,7 +83,7 @@
 	return a.tokens.Add(chunk)
 }
 
-// appendSpan notes that the tokens of a chunk came from its version.
+// appendSpan records the version of a chunk's tokens, extending the last span where possible.
 func appendSpan(spans []peerapi.Span, chunk platform.Chunk) []peerapi.Span {
 	end := chunk.Index + len(chunk.Tokens)
 	last := len(spans) - 1
--- a/internal/dispatch/assembler_test.go
+++ b/internal/dispatch/assembler_test.go
@@ -12,27 +12,28 @@
 	"github.com/hillfork/hillfork/internal/reorder"
 )
 
-func TestAssemblerDropsWhatIsNotItsOwn(t *testing.T) {
+func TestAssemblerDropsForeignAndDuplicateChunks(t *testing.T) {
 	is := is.New(t)
-	order := newAssembler("r", 2, 0)
+	asm := newAssembler("r", 2, 0)
 	chunk := func(id string, attempt uint32, index int, tokens ...uint32) platform.Chunk {
 		return platform.Chunk{RequestID: id, Attempt: attempt, Index: index, Tokens: tokens}
 	}
-	is.Equal(len(order.add(chunk("other", 2, 0, 1))), 0)
-	is.Equal(len(order.add(chunk("r", 1, 0, 1))), 0) // late, from an earlier attempt
-	is.Equal(order.foreign, 2)
-	is.Equal(len(order.add(chunk("r", 2, 0, 1, 2))), 1)
-	is.Equal(len(order.add(chunk("r", 2, 0, 1))), 0)
-	is.Equal(order.tokens.Drops().Duplicate, 1)
+	is.Equal(len(asm.add(chunk("other", 2, 0, 1))), 0)
+	is.Equal(len(asm.add(chunk("r", 1, 0, 1))), 0) // late, from an earlier attempt
+	is.Equal(asm.foreign, 2)
+	is.Equal(len(asm.add(chunk("r", 2, 0, 1, 2))), 1)
+	is.Equal(len(asm.add(chunk("r", 2, 0, 1))), 0)
+	is.Equal(asm.tokens.Drops().Duplicate, 1)
 	for i := range reorder.MaxHeld + 5 {
-		order.add(chunk("r", 2, 100+i, 1))
+		asm.add(chunk("r", 2, 100+i, 1))
 	}
-	is.Equal(order.tokens.Drops().Overflow, 5)
-	is.True(!order.whole())
+	is.Equal(asm.tokens.Drops().Overflow, 5)
+	is.True(!asm.complete())
 }
 
-// TestAssemblerRestoresAnyDisorder cuts an answer into chunks that overlap and repeat, in any order.
-func TestAssemblerRestoresAnyDisorder(t *testing.T) {
+// TestAssemblerReordersChunks splits an answer into chunks, adds overlapping and repeated ones, and checks that every
+// arrival order yields the answer without gaps, overlaps or repetitions.
+func TestAssemblerReordersChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		length := rapid.IntRange(1, 40).Draw(t, "length")
 		resumed := rapid.IntRange(0, length-1).Draw(t, "resumed")
@@ -55,11 +56,11 @@
 			from := rapid.IntRange(resumed, length-1).Draw(t, "from")
 			chunks = append(chunks, chunk(from, rapid.IntRange(from+1, length).Draw(t, "end")))
 		}
-		order := newAssembler("r", 1, resumed)
+		asm := newAssembler("r", 1, resumed)
 		tokens := slices.Clone(answer[:resumed])
 		var spans []peerapi.Span
 		for _, disordered := range rapid.Permutation(chunks).Draw(t, "order") {
-			for _, ready := range order.add(disordered) {
+			for _, ready := range asm.add(disordered) {
 				if ready.Index != len(tokens) {
 					t.Fatalf("chunk at %d after %d tokens", ready.Index, len(tokens))
 				}
@@ -67,7 +68,7 @@
 				spans = appendSpan(spans, ready)
 			}
 		}
-		if !order.whole() || !slices.Equal(tokens, answer) {
+		if !asm.complete() || !slices.Equal(tokens, answer) {
 			t.Fatalf("got %v", tokens)
 		}
 		at := resumed
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -15,42 +15,42 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// Priorities that engines batch by.
+// Priorities by which engines batch work.
 const (
 	trainingPriority    = 0
 	interactivePriority = 10
 )
 
-// Ends of an attempt that the version of its next tokens brings about.
+// Errors that end an attempt because of the weight version of its next tokens.
 var (
 	errWrongVersion = errors.New("tokens came from a version that is not accepted")
-	// errSwapMove hands the tokens so far back, so that the sample can go on at another engine.
-	errSwapMove = errors.New("weights were swapped, the sample moves")
-	// errSwapRestart hands nothing back: the sample starts again.
-	errSwapRestart = errors.New("weights were swapped, the sample starts again")
+	// errSwapMove hands the tokens generated so far back, so that another engine can continue the sample.
+	errSwapMove = errors.New("weights were swapped; the sample moves to another engine")
+	// errSwapRestart hands no tokens back: the sample restarts.
+	errSwapRestart = errors.New("weights were swapped; the sample restarts")
 )
 
-// attempt is one try at one sample, from its assignment until the step ledger has its end.
+// attempt is one attempt to generate a sample, from its assignment until the step ledger has acknowledged its end.
 type attempt struct {
-	link       *workLink
+	link       *stepShardLink
 	assignment peerapi.Assignment
 	requestID  string
-	// useful ends with the process, or when the step ledger has no more use for the attempt.
-	useful context.Context
-	forgo  context.CancelFunc
-	// alive ends when the stream is cancelled, with the cause.
-	alive  context.Context
-	cancel context.CancelCauseFunc
+	// neededCtx ends with the process, or when the step ledger no longer needs the attempt.
+	neededCtx    context.Context
+	cancelNeeded context.CancelFunc
+	// streamCtx ends when the stream is cancelled, with the cause.
+	streamCtx    context.Context
+	cancelStream context.CancelCauseFunc
 
 	mutex  sync.Mutex
 	tokens []uint32
 	spans  []peerapi.Span
-	// ended is set with the end of the stream; failed, where no whole answer came of it.
+	// ended is set when the stream has ended, and failed when it ended without a complete answer.
 	ended  bool
 	failed bool
-	// onSlot is set once the attempt has a slot.
-	onSlot bool
-	// preempted is set when the slot was reclaimed while the stream still held it.
+	// hasSlot is set once the attempt has a slot.
+	hasSlot bool
+	// preempted is set when the slot was reclaimed before the stream ended.
 	preempted bool
 }
 
@@ -58,40 +58,40 @@
 	return peerapi.AttemptRef{Step: a.assignment.Step, Index: a.assignment.Index, Attempt: a.assignment.Attempt}
 }
 
-// startAttempt runs an assignment, on a reserved slot or on the next one that the workload gets. It is false for one that
-// is running already, or that belongs to another workload.
-func (l *workLink) startAttempt(assignment peerapi.Assignment, reserved bool) bool {
+// startAttempt runs an assignment, on a reserved slot or on the next one that the workload gets. It returns false for
+// an assignment that is already running or that belongs to another workload.
+func (l *stepShardLink) startAttempt(assignment peerapi.Assignment, reserved bool) bool {
 	if assignment.Workload != l.key.workload {
 		l.owner.logger.Error("step shard gave a sample of another workload", "workload", assignment.Workload, "shard", l.key)
 		return false
 	}
-	useful, forgo := context.WithCancel(l.owner.work)
-	alive, cancel := context.WithCancelCause(useful)
+	neededCtx, cancelNeeded := context.WithCancel(l.owner.work)
+	streamCtx, cancelStream := context.WithCancelCause(neededCtx)
 	started := &attempt{
-		link:       l,
-		assignment: assignment,
-		requestID:  fmt.Sprintf("%s/%d/%d", assignment.Workload, assignment.Step, assignment.Index),
-		useful:     useful,
-		forgo:      forgo,
-		alive:      alive,
-		cancel:     cancel,
-		tokens:     append([]uint32(nil), assignment.Resume...),
-		spans:      append([]peerapi.Span(nil), assignment.ResumeSpans...),
+		link:         l,
+		assignment:   assignment,
+		requestID:    fmt.Sprintf("%s/%d/%d", assignment.Workload, assignment.Step, assignment.Index),
+		neededCtx:    neededCtx,
+		cancelNeeded: cancelNeeded,
+		streamCtx:    streamCtx,
+		cancelStream: cancelStream,
+		tokens:       append([]uint32(nil), assignment.Resume...),
+		spans:        append([]peerapi.Span(nil), assignment.ResumeSpans...),
 	}
-	if !l.register(started) {
-		started.drop()
+	if !l.registerAttempt(started) {
+		started.discard()
 		return false
 	}
 	l.owner.dispatcher.counters.AttemptsStarted.Add(1)
 	l.owner.dispatcher.tasks.Go(func() { started.run(reserved) })
-	l.urgent.notify()
+	l.reportNow.notify()
 	if l.owner.intake.Err() != nil {
-		cancel(errHandBack)
+		cancelStream(errHandBack)
 	}
 	return true
 }
 
-func (l *workLink) register(started *attempt) bool {
+func (l *stepShardLink) registerAttempt(started *attempt) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.attempts[started.reference()] != nil {
@@ -101,57 +101,59 @@
 	return true
 }
 
-// drop ends an attempt that the step ledger has no use for.
-func (a *attempt) drop() {
-	a.cancel(errUseless)
-	a.forgo()
+// discard ends an attempt that the step ledger no longer needs.
+func (a *attempt) discard() {
+	a.cancelStream(errNotNeeded)
+	a.cancelNeeded()
 }
 
-// preempt cancels the stream for its slot; false when it has just ended by itself.
+// preempt cancels the stream to free its slot. It returns false if the stream has no slot, has ended or is already
+// preempted.
 func (a *attempt) preempt() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if !a.onSlot || a.ended || a.preempted {
+	if !a.hasSlot || a.ended || a.preempted {
 		return false
 	}
 	a.preempted = true
-	a.cancel(errPreempted)
+	a.cancelStream(errPreempted)
 	return true
 }
 
-// run generates the sample, gives the slot back, and sees that the step ledger learns of the end.
+// run generates the sample, releases the slot, and reports the end to the step ledger.
 func (a *attempt) run(reserved bool) {
 	owner := a.link.owner
-	defer a.drop()
-	if !reserved && !owner.slots.await(a.alive, a.assignment.Workload) {
-		cause := context.Cause(a.alive)
-		a.end(cause)
-		a.settle(cause, 0)
+	defer a.discard()
+	if !reserved && !owner.slots.awaitSlot(a.streamCtx, a.assignment.Workload) {
+		cause := context.Cause(a.streamCtx)
+		a.recordEnd(cause)
+		a.reportEnd(cause, 0)
 		return
 	}
-	a.takeSlot()
-	a.dropForeignResume()
+	a.setHasSlot()
+	a.discardForeignResume()
 	incarnation := owner.state.view().incarnation
-	err := a.startable()
+	err := a.checkStartable()
 	if err == nil {
 		err = a.generate()
 	}
-	preempted := a.end(err)
-	owner.cooling.note(err, a.alive)
+	preempted := a.recordEnd(err)
+	owner.cooldown.observeEnd(err, a.streamCtx)
 	owner.slots.release(a.assignment.Workload, 1, preempted)
-	a.settle(err, incarnation)
+	a.reportEnd(err, incarnation)
 }
 
-// dropForeignResume starts from the beginning where the workload's bundle lets no sample go on under other weights than
-// it began with, and the tokens to resume came from other weights than the engine serves. The step ledger keeps the
-// longest part that it was ever handed, so it offers that part again and again.
-func (a *attempt) dropForeignResume() {
+// discardForeignResume discards the tokens to resume if they came from other weights than the engine serves and the
+// workload's bundle requires each sample to be generated under one version. The sample then starts from the beginning.
+// The check is needed on every attempt, because the step ledger keeps the longest partial answer that it has received
+// and offers it again each time.
+func (a *attempt) discardForeignResume() {
 	owner := a.link.owner
 	workload := owner.workload(a.assignment.Workload)
 	if workload == nil || workload.Swap != bundle.SwapRestart {
 		return
 	}
-	foreign := func(span peerapi.Span) bool { return owner.state.contradicts(a.assignment.Model, span.Version) }
+	foreign := func(span peerapi.Span) bool { return owner.state.differsFromServed(a.assignment.Model, span.Version) }
 	if slices.ContainsFunc(a.assignment.ResumeSpans, foreign) {
 		a.assignment.Resume, a.assignment.ResumeSpans = nil, nil
 		a.mutex.Lock()
@@ -160,39 +162,39 @@
 	}
 }
 
-// startable refuses to start work at an engine that stopped to take it after the sample was pulled.
-func (a *attempt) startable() error {
+// checkStartable returns errHandBack if the engine stopped accepting work after the sample was pulled.
+func (a *attempt) checkStartable() error {
 	if _, ok := a.link.ready(); !ok || a.link.owner.intake.Err() != nil {
-		a.cancel(errHandBack)
+		a.cancelStream(errHandBack)
 		return errHandBack
 	}
 	return nil
 }
 
-func (a *attempt) takeSlot() {
+func (a *attempt) setHasSlot() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.onSlot = true
+	a.hasSlot = true
 }
 
-// settle sees that the step ledger learns of the end.
-func (a *attempt) settle(err error, incarnation uint64) {
+// reportEnd submits the completed sample, or has the failure reported to the step ledger.
+func (a *attempt) reportEnd(err error, incarnation uint64) {
 	owner := a.link.owner
 	switch {
 	case err == nil:
-		a.complete(incarnation, time.Now())
-		a.link.forget(a.reference())
-	case errors.Is(context.Cause(a.alive), errUseless):
-		a.link.forget(a.reference())
+		a.submitCompletion(incarnation, time.Now())
+		a.link.removeAttempt(a.reference())
+	case errors.Is(context.Cause(a.streamCtx), errNotNeeded):
+		a.link.removeAttempt(a.reference())
 	default:
 		owner.dispatcher.counters.AttemptsFailed.Add(1)
 		errorlog.Debug(owner.logger, "attempt ended early", err, "request", a.requestID, "attempt", a.assignment.Attempt)
-		a.link.urgent.notify()
+		a.link.reportNow.notify()
 	}
 }
 
-// end notes how the stream ended, and tells whether its slot was reclaimed before.
-func (a *attempt) end(err error) (preempted bool) {
+// recordEnd records the end of the stream and reports whether its slot had been reclaimed before.
+func (a *attempt) recordEnd(err error) (preempted bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.ended = true
@@ -203,21 +205,21 @@
 	return a.preempted
 }
 
-// running tells whether the stream has not ended yet.
+// running reports whether the stream has not ended yet.
 func (a *attempt) running() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return !a.ended
 }
 
-// length is how many tokens the answer has so far.
+// length returns the number of tokens in the answer so far.
 func (a *attempt) length() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return len(a.tokens)
 }
 
-// progress describes the attempt to its step ledger.
+// progress returns the attempt's state for a report to the step ledger.
 func (a *attempt) progress() peerapi.Progress {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -235,10 +237,10 @@
 	return progress
 }
 
-// generate runs the stream to its end. Nil says that the answer is whole.
+// generate runs the stream to its end. It returns nil if the answer is complete.
 func (a *attempt) generate() error {
 	owner := a.link.owner
-	stream, err := owner.engine.Generate(a.alive, platform.GenerateRequest{
+	stream, err := owner.engine.Generate(a.streamCtx, platform.GenerateRequest{
 		RequestID: a.requestID,
 		Attempt:   a.assignment.Attempt,
 		Model:     a.assignment.Model,
@@ -249,22 +251,22 @@
 		Priority:  trainingPriority,
 	})
 	if err != nil {
-		owner.cancelUnlessProvenUnsent(err, a.requestID, a.assignment.Attempt)
+		owner.cancelUnlessProvenNotRun(err, a.requestID, a.assignment.Attempt)
 		return err
 	}
 	defer func() { _ = stream.Close() }()
-	order := newAssembler(a.requestID, a.assignment.Attempt, len(a.assignment.Resume))
-	order.mutations = owner.config.Mutations
-	err = order.receive(stream, a.keep)
-	owner.dispatcher.counters.countDrops(order)
+	asm := newAssembler(a.requestID, a.assignment.Attempt, len(a.assignment.Resume))
+	asm.mutations = owner.config.Mutations
+	err = asm.receive(stream, a.appendChunk)
+	owner.dispatcher.counters.countDrops(asm)
 	if err != nil {
 		owner.cancelAtEngine(a.requestID, a.assignment.Attempt)
 	}
 	return err
 }
 
-// keep adds the tokens of a chunk to the answer, if their version may be delivered.
-func (a *attempt) keep(chunk platform.Chunk) error {
+// appendChunk appends the tokens of a chunk to the answer, if their version is accepted.
+func (a *attempt) appendChunk(chunk platform.Chunk) error {
 	owner := a.link.owner
 	if owner.config.Mutations.Has(mutation.VersionsFromOrders) {
 		chunk.Version = owner.state.view().served[a.assignment.Model]
@@ -273,7 +275,7 @@
 		return err
 	}
 	if chunk.Version < a.assignment.MinVersion {
-		owner.doubtStatus(a.assignment.Model, chunk.Version)
+		owner.quarantineIfContradicted(a.assignment.Model, chunk.Version)
 		return errWrongVersion
 	}
 	a.mutex.Lock()
@@ -286,8 +288,8 @@
 	return nil
 }
 
-// checkSwap ends the attempt when the engine took new weights under it and the workload's bundle does not let samples go
-// on under them. The caller holds the lock.
+// checkSwap returns an error if the engine swapped weights during the attempt and the workload's bundle does not let
+// samples continue under the new ones. The caller holds the lock.
 func (a *attempt) checkSwap(version uint64) error {
 	workload := a.link.owner.workload(a.assignment.Workload)
 	if workload == nil || len(a.spans) == 0 || a.spans[len(a.spans)-1].Version == version {
@@ -304,8 +306,8 @@
 	return nil
 }
 
-// checkVersion compares the version of tokens with the bundle in force. A version that the workload does not accept
-// quarantines the engine for the model.
+// checkVersion checks the version of tokens against the bundle in force. If the workload does not accept it, the engine
+// is quarantined for the model.
 func (o *engineOwner) checkVersion(workloadName, model string, version uint64) error {
 	workload := o.workload(workloadName)
 	if workload != nil && !versionBounds(*workload).Accept(version) {
@@ -316,15 +318,15 @@
 	return nil
 }
 
-// doubtStatus quarantines the engine when its tokens are too old for a sample that suits the version it claims to serve:
-// it would be given such samples for ever.
-func (o *engineOwner) doubtStatus(model string, version uint64) {
-	if o.state.contradicts(model, version) {
+// quarantineIfContradicted quarantines the engine if its tokens came from another version than the one in its status.
+// Otherwise, it would be assigned samples that need the reported version again and again.
+func (o *engineOwner) quarantineIfContradicted(model string, version uint64) {
+	if o.state.differsFromServed(model, version) {
 		o.quarantine(model, version)
 	}
 }
 
-// quarantine keeps new work of a model away until the engine was ordered to load, and was seen to have done so.
+// quarantine assigns the engine no new work of a model until a load order has been sent and its success verified.
 func (o *engineOwner) quarantine(model string, version uint64) {
 	if o.state.quarantine(model) {
 		o.dispatcher.counters.Quarantines.Add(1)
@@ -332,19 +334,19 @@
 	}
 }
 
-// cancelUnlessProvenUnsent cancels work that the engine may have although the call failed.
-func (o *engineOwner) cancelUnlessProvenUnsent(err error, requestID string, attempt uint32) {
+// cancelUnlessProvenNotRun cancels work that the engine may be running although the call failed.
+func (o *engineOwner) cancelUnlessProvenNotRun(err error, requestID string, attempt uint32) {
 	if !provenNotRun(err) {
 		o.cancelAtEngine(requestID, attempt)
 	}
 }
 
-// provenNotRun tells whether an error proves that the engine ran nothing.
+// provenNotRun reports whether an error proves that the engine ran nothing.
 func provenNotRun(err error) bool {
 	return errors.Is(err, platform.ErrRejected) || errors.Is(err, platform.ErrNotSent)
 }
 
-// cancelAtEngine stops a stream at the engine, as far as the engine can be reached.
+// cancelAtEngine cancels a stream at the engine; failures are only logged.
 func (o *engineOwner) cancelAtEngine(requestID string, attempt uint32) {
 	ctx, cancel := context.WithTimeout(o.work, o.config.Timing.StatusTimeout)
 	defer cancel()
@@ -353,7 +355,7 @@
 	}
 }
 
-// runningAttempts returns the attempts that have not ended and are wanted.
+// runningAttempts returns the matching attempts that have not ended or been cancelled.
 func (o *engineOwner) runningAttempts(wanted func(*attempt) bool) []*attempt {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -364,21 +366,21 @@
 	return found
 }
 
-func (l *workLink) runningAttempts(wanted func(*attempt) bool) []*attempt {
+func (l *stepShardLink) runningAttempts(wanted func(*attempt) bool) []*attempt {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var found []*attempt
 	for _, candidate := range l.attempts {
-		if candidate.running() && candidate.alive.Err() == nil && wanted(candidate) {
+		if candidate.running() && candidate.streamCtx.Err() == nil && wanted(candidate) {
 			found = append(found, candidate)
 		}
 	}
 	return found
 }
 
-// cancelAttempts cuts all attempts that have not ended.
+// cancelAttempts cancels all running attempts.
 func (o *engineOwner) cancelAttempts(cause error) {
 	for _, running := range o.runningAttempts(func(*attempt) bool { return true }) {
-		running.cancel(cause)
+		running.cancelStream(cause)
 	}
 }
--- a/internal/dispatch/complete.go
+++ b/internal/dispatch/complete.go
@@ -10,20 +10,20 @@
 	"github.com/hillfork/hillfork/internal/peerapi"
 )
 
-// complete hands a whole answer in, until the step ledger has taken it or has no use for it. It gives up only with the
-// process: the answer is in nobody else's hands.
-func (a *attempt) complete(incarnation uint64, completed time.Time) {
-	request := a.completion(incarnation, completed)
-	pauses := a.link.owner.config.Timing.newBackoff()
-	for a.useful.Err() == nil {
-		if a.completeOnce(request) {
+// submitCompletion submits a complete answer until the step ledger has accepted it or no longer needs it. It retries
+// until the process stops, because no other process has the answer.
+func (a *attempt) submitCompletion(incarnation uint64, completed time.Time) {
+	request := a.completionRequest(incarnation, completed)
+	retryBackoff := a.link.owner.config.Timing.newBackoff()
+	for a.neededCtx.Err() == nil {
+		if a.trySubmitCompletion(request) {
 			return
 		}
-		waitFor(a.useful, pauses.NextBackOff())
+		waitFor(a.neededCtx, retryBackoff.NextBackOff())
 	}
 }
 
-func (a *attempt) completion(incarnation uint64, completed time.Time) *peerapi.CompleteSample {
+func (a *attempt) completionRequest(incarnation uint64, completed time.Time) *peerapi.CompleteSample {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return &peerapi.CompleteSample{
@@ -39,23 +39,24 @@
 	}
 }
 
-// completeOnce tells whether the answer needs no more attention.
-func (a *attempt) completeOnce(request *peerapi.CompleteSample) bool {
+// trySubmitCompletion submits the answer once and reports whether no retry is needed.
+func (a *attempt) trySubmitCompletion(request *peerapi.CompleteSample) bool {
 	owner := a.link.owner
 	owner.dispatcher.counters.Completions.Add(1)
-	ctx, cancel := context.WithTimeout(a.useful, owner.config.Timing.Call)
+	ctx, cancel := context.WithTimeout(a.neededCtx, owner.config.Timing.CallTimeout)
 	defer cancel()
 	err := a.link.callLedger(ctx, peerapi.MethodCompleteSample, request, &peerapi.CompleteSampleResult{}, true)
 	if err == nil {
 		return true
 	}
-	errorlog.Warn(owner.logger, "finished sample was not taken yet", err, "request", a.requestID)
-	return a.link.refusedForGood(err)
+	errorlog.Warn(owner.logger, "step ledger did not accept the finished sample", err, "request", a.requestID)
+	return a.link.permanentlyRefused(err)
 }
 
-// refusedForGood tells whether the step shard will refuse a call each time. A ledger that does not know the workload may
-// only be behind with the bundle, so this node's bundle has to agree.
-func (l *workLink) refusedForGood(err error) bool {
+// permanentlyRefused reports whether the step shard will refuse a call on every retry. A ledger that does not know the
+// workload may have an older bundle, so CodeNotFound counts only if this node's bundle does not have the workload
+// either.
+func (l *stepShardLink) permanentlyRefused(err error) bool {
 	var refusal *peer.Error
 	if !errors.As(err, &refusal) {
 		return false
--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -18,18 +18,18 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// EngineStreamPrefix starts the name of the shard stream, and the placement key, of an engine.
+// EngineStreamPrefix is the prefix of an engine's shard stream name and placement key.
 const EngineStreamPrefix = "engines/"
 
-// DefaultStepShards is how many shards the steps of a workload are spread over.
+// DefaultStepShards is the default number of shards that a workload's steps are partitioned into.
 const DefaultStepShards = 2
 
-// LedgerCaller calls the owner of a key, following hints to where it is. Errors are those of peer.Caller.
+// LedgerCaller calls the owner of a key and follows owner hints. Its errors are those of peer.Caller.
 type LedgerCaller interface {
 	CallOwner(ctx context.Context, key string, preference placement.Preference, method string, request, response peer.Message, idempotent bool) error
 }
 
-// Directory is the view of the machines. *machines.Directory fills it.
+// Directory is the view of the machine list. *machines.Directory implements it.
 type Directory interface {
 	Engines(pool string) []platform.Machine
 	Leaving(id string) bool
@@ -38,87 +38,89 @@
 	Changed() <-chan struct{}
 }
 
-// Timing holds the durations that a dispatcher works by. Zero fields take the defaults.
+// Timing holds the intervals and timeouts of a dispatcher. Zero fields take the defaults.
 type Timing struct {
-	// Status is the time between two status reads of an engine.
-	Status time.Duration
-	// StatusTimeout bounds one status read, and every short call of an engine.
+	// StatusInterval is the time between two status reads of an engine.
+	StatusInterval time.Duration
+	// StatusTimeout limits one status read and every other short call to an engine.
 	StatusTimeout time.Duration
-	// StatusLag is the age that a status may have.
+	// StatusLag is the maximum age of the data in an engine's status.
 	StatusLag time.Duration
-	// Report is the time between two reports on running samples.
-	Report time.Duration
-	// LongPoll is how long a step ledger may hold a question for work open.
+	// ReportInterval is the time between two progress reports on running samples.
+	ReportInterval time.Duration
+	// LongPoll is the maximum time that a step ledger may hold a long poll for work open.
 	LongPoll time.Duration
-	// Call bounds one call of a step ledger, the long poll apart.
-	Call time.Duration
-	// RetryMin and RetryMax bound the pause after a failure.
+	// CallTimeout limits one call to a step ledger, in addition to the time of a long poll.
+	CallTimeout time.Duration
+	// RetryMin and RetryMax are the limits of the delay before a retry.
 	RetryMin time.Duration
 	RetryMax time.Duration
-	// Roll is the time over which the waves of a weight roll are spread.
-	Roll time.Duration
-	// Wave is the longest time between two waves: what a load usually takes.
-	Wave time.Duration
-	// Load bounds one weight order.
-	Load time.Duration
-	// LeaveGrace is how long training work may go on at an engine that leaves.
+	// RollDuration is the time over which the waves of a weight rollout are spread.
+	RollDuration time.Duration
+	// MaxWaveInterval is the maximum time between two waves: the usual duration of a load.
+	MaxWaveInterval time.Duration
+	// LoadTimeout limits one weight order.
+	LoadTimeout time.Duration
+	// LeaveGrace is how long training work may continue on an engine that is leaving.
 	LeaveGrace time.Duration
-	// Settle bounds the hand-back of work when the engine goes to another dispatcher.
-	Settle time.Duration
-	// Reconcile is the time between two attempts to open the shards of engines placed here.
-	Reconcile time.Duration
-	// SteadyQuiet is how long the members must be the same before engines are claimed by them; SteadyLimit bounds the wait
-	// while they keep changing, and JoinLimit while most of them are not known.
-	SteadyQuiet time.Duration
-	SteadyLimit time.Duration
-	JoinLimit   time.Duration
+	// DrainTimeout limits the hand-back of work when another dispatcher takes the engine over.
+	DrainTimeout time.Duration
+	// ReconcileInterval is the time between two attempts to open the shards of engines placed on this node.
+	ReconcileInterval time.Duration
+	// MembershipQuiet is how long the membership must be unchanged before engines are claimed. MaxStableWait limits the
+	// wait while the membership keeps changing, and MaxJoinWait limits it while most members are unknown.
+	MembershipQuiet time.Duration
+	MaxStableWait   time.Duration
+	MaxJoinWait     time.Duration
 }
 
-// defaultTiming holds the default of each duration.
+// defaultTiming holds the default of each field of Timing.
 var defaultTiming = Timing{
-	Status:        2 * time.Second,
-	StatusTimeout: 2 * time.Second,
-	StatusLag:     time.Second,
-	Report:        time.Second,
-	LongPoll:      30 * time.Second,
-	Call:          10 * time.Second,
-	RetryMin:      200 * time.Millisecond,
-	RetryMax:      5 * time.Second,
-	Roll:          8 * time.Second,
-	Wave:          2 * time.Second,
-	Load:          60 * time.Second,
-	LeaveGrace:    10 * time.Second,
-	Settle:        20 * time.Second,
-	Reconcile:     2 * time.Second,
-	SteadyQuiet:   time.Second,
-	SteadyLimit:   15 * time.Second,
-	JoinLimit:     time.Minute,
+	StatusInterval:    2 * time.Second,
+	StatusTimeout:     2 * time.Second,
+	StatusLag:         time.Second,
+	ReportInterval:    time.Second,
+	LongPoll:          30 * time.Second,
+	CallTimeout:       10 * time.Second,
+	RetryMin:          200 * time.Millisecond,
+	RetryMax:          5 * time.Second,
+	RollDuration:      8 * time.Second,
+	MaxWaveInterval:   2 * time.Second,
+	LoadTimeout:       60 * time.Second,
+	LeaveGrace:        10 * time.Second,
+	DrainTimeout:      20 * time.Second,
+	ReconcileInterval: 2 * time.Second,
+	MembershipQuiet:   time.Second,
+	MaxStableWait:     15 * time.Second,
+	MaxJoinWait:       time.Minute,
 }
 
-// Config sets a Dispatcher up. All fields but Weights, Facts, StepPreference, Logger, StepShards and Timing are required.
+// Config configures a Dispatcher. All fields are required, except Joined, Weights, Facts, StepPreference, StepShards,
+// Timing, Policy, Logger and Mutations.
 type Config struct {
 	Placer placement.Placer
-	// Joined tells whether this process knows most of the other nodes; nil says that it always does.
+	// Joined reports whether this process knows most of the other nodes. If nil, the process counts as joined.
 	Joined    func() bool
 	Opener    shard.Opener
 	Directory Directory
 	Dialer    platform.EngineDialer
 	Bundles   bundle.Source
 	Ledger    LedgerCaller
-	// Weights is asked for the newest version when a model is first met; nil leaves that to facts and step ledgers.
+	// Weights is queried for a model's newest version when a bundle first names the model for an owned engine. If nil,
+	// versions come from facts and step ledgers only.
 	Weights platform.WeightStore
-	// Facts spreads the newest weight versions; nil leaves them to the step ledgers.
+	// Facts distributes the newest weight versions. If nil, versions come from the other sources only.
 	Facts machines.FactSource
-	// StepPreference tells where the owner of a workload's step shards had best be; it must agree with the step
-	// ledgers' own. Nil is no preference.
+	// StepPreference returns the preferred location of the owner of a workload's step shards. It must agree with the
+	// preference that the step ledgers use. Nil means no preference.
 	StepPreference func(workload string) placement.Preference
-	// StepShards is how many shards the steps of a workload are spread over; 0 is DefaultStepShards.
+	// StepShards is the number of shards of a workload's steps; 0 means DefaultStepShards.
 	StepShards int
 	Timing     Timing
-	// Policy chooses how engines load weights.
+	// Policy selects how engines load weights.
 	Policy policy.Settings
 	Logger *log.Logger
-	// Mutations switches mechanisms off; only tests set it.
+	// Mutations disables mechanisms; only tests set it.
 	Mutations mutation.Set
 }
 
@@ -128,23 +130,23 @@
 		c.StepPreference = func(string) placement.Preference { return placement.Preference{} }
 	}
 	setDefault(&c.StepShards, DefaultStepShards)
-	setDefault(&c.Timing.Status, defaultTiming.Status)
+	setDefault(&c.Timing.StatusInterval, defaultTiming.StatusInterval)
 	setDefault(&c.Timing.StatusTimeout, defaultTiming.StatusTimeout)
 	setDefault(&c.Timing.StatusLag, defaultTiming.StatusLag)
-	setDefault(&c.Timing.Report, defaultTiming.Report)
+	setDefault(&c.Timing.ReportInterval, defaultTiming.ReportInterval)
 	setDefault(&c.Timing.LongPoll, defaultTiming.LongPoll)
-	setDefault(&c.Timing.Call, defaultTiming.Call)
+	setDefault(&c.Timing.CallTimeout, defaultTiming.CallTimeout)
 	setDefault(&c.Timing.RetryMin, defaultTiming.RetryMin)
 	setDefault(&c.Timing.RetryMax, defaultTiming.RetryMax)
-	setDefault(&c.Timing.Roll, defaultTiming.Roll)
-	setDefault(&c.Timing.Wave, defaultTiming.Wave)
-	setDefault(&c.Timing.Load, defaultTiming.Load)
+	setDefault(&c.Timing.RollDuration, defaultTiming.RollDuration)
+	setDefault(&c.Timing.MaxWaveInterval, defaultTiming.MaxWaveInterval)
+	setDefault(&c.Timing.LoadTimeout, defaultTiming.LoadTimeout)
 	setDefault(&c.Timing.LeaveGrace, defaultTiming.LeaveGrace)
-	setDefault(&c.Timing.Settle, defaultTiming.Settle)
-	setDefault(&c.Timing.Reconcile, defaultTiming.Reconcile)
-	setDefault(&c.Timing.SteadyQuiet, defaultTiming.SteadyQuiet)
-	setDefault(&c.Timing.SteadyLimit, defaultTiming.SteadyLimit)
-	setDefault(&c.Timing.JoinLimit, defaultTiming.JoinLimit)
+	setDefault(&c.Timing.DrainTimeout, defaultTiming.DrainTimeout)
+	setDefault(&c.Timing.ReconcileInterval, defaultTiming.ReconcileInterval)
+	setDefault(&c.Timing.MembershipQuiet, defaultTiming.MembershipQuiet)
+	setDefault(&c.Timing.MaxStableWait, defaultTiming.MaxStableWait)
+	setDefault(&c.Timing.MaxJoinWait, defaultTiming.MaxJoinWait)
 	if c.Joined == nil {
 		c.Joined = func() bool { return true }
 	}
@@ -158,7 +160,7 @@
 	}
 }
 
-// EngineKey is the shard stream and placement key of an engine.
+// EngineKey returns the shard stream name and placement key of an engine.
 func EngineKey(engine string) string {
 	return EngineStreamPrefix + engine
 }
--- a/internal/dispatch/cooldown.go
+++ b/internal/dispatch/cooldown.go
@@ -8,28 +8,29 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// cooldown keeps samples away from an engine that fails them at once, longer with each failure in a row.
+// cooldown suspends pulls for an engine that fails samples, longer with each consecutive failure.
 type cooldown struct {
-	mutex  sync.Mutex
-	pauses *backoff.ExponentialBackOff
-	until  time.Time
+	mutex   sync.Mutex
+	backoff *backoff.ExponentialBackOff
+	until   time.Time
 }
 
-// note learns from the end of an attempt. Ends that the dispatcher brought about say nothing of the engine.
-func (c *cooldown) note(err error, alive context.Context) {
+// observeEnd updates the cooldown from the end of an attempt. A failure after the stream was cancelled is ignored,
+// because the dispatcher caused it.
+func (c *cooldown) observeEnd(err error, streamCtx context.Context) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if err == nil {
-		c.pauses.Reset()
+		c.backoff.Reset()
 		c.until = time.Time{}
 		return
 	}
-	if alive.Err() == nil && !time.Now().Before(c.until) {
-		c.until = time.Now().Add(c.pauses.NextBackOff())
+	if streamCtx.Err() == nil && !time.Now().Before(c.until) {
+		c.until = time.Now().Add(c.backoff.NextBackOff())
 	}
 }
 
-// remaining is how long the engine is to be left alone.
+// remaining returns how long no samples may be pulled for the engine.
 func (c *cooldown) remaining() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -6,9 +6,9 @@
 	"github.com/hillfork/hillfork/internal/metric"
 )
 
-// Counters counts what the dispatchers of a node did, since its start.
+// Counters counts the activity of a node's dispatchers since the node started.
 type Counters struct {
-	// Control messages, by direction of their use.
+	// Control messages to engines and step ledgers.
 	StatusReads  atomic.Uint64
 	WeightOrders atomic.Uint64
 	HintPolls    atomic.Uint64
@@ -16,7 +16,7 @@
 	Reports      atomic.Uint64
 	Completions  atomic.Uint64
 
-	// Work.
+	// Requests and attempts.
 	RequestsAdmitted atomic.Uint64
 	RequestsRefused  atomic.Uint64
 	AttemptsStarted  atomic.Uint64
@@ -24,7 +24,7 @@
 	AttemptsUseless  atomic.Uint64
 	Preemptions      atomic.Uint64
 
-	// Trouble.
+	// Dropped or reordered chunks, quarantines, failed loads, lost shards and engine restarts.
 	ChunksForeign      atomic.Uint64
 	ChunksDuplicate    atomic.Uint64
 	ChunksReordered    atomic.Uint64
@@ -38,16 +38,16 @@
 	EngineRestarts     atomic.Uint64
 }
 
-// countDrops adds what an assembler dropped or reordered.
-func (c *Counters) countDrops(order *assembler) {
-	drops := order.tokens.Drops()
-	c.ChunksForeign.Add(uint64(order.foreign))
+// countDrops adds an assembler's counts of dropped and reordered chunks.
+func (c *Counters) countDrops(asm *assembler) {
+	drops := asm.tokens.Drops()
+	c.ChunksForeign.Add(uint64(asm.foreign))
 	c.ChunksDuplicate.Add(uint64(drops.Duplicate))
 	c.ChunksReordered.Add(uint64(drops.Reordered))
 	c.ChunksOverflow.Add(uint64(drops.Overflow))
 }
 
-// Metrics returns the counters as they stand.
+// Metrics returns the current values of the counters.
 func (c *Counters) Metrics() []metric.Metric { return metric.Read(c.list()) }
 
 func (c *Counters) list() []metric.Counter {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -13,12 +13,12 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// Dispatcher dispatches for the engines that are placed on this node.
+// Dispatcher dispatches work to the engines that are placed on this node.
 type Dispatcher struct {
 	config   Config
 	versions *versionTracker
 	counters Counters
-	// tasks are the attempts, reports and owners that run; Run waits for them.
+	// tasks are the running goroutines of attempts, reports, owners and version queries; Run waits for them.
 	tasks sync.WaitGroup
 	wake  *notifier
 
@@ -26,11 +26,11 @@
 	draining bool
 	owners   map[string]*engineOwner
 	opening  map[string]bool
-	// lingering are owners that were given up with work in flight.
+	// lingering holds owners that have lost or released their engine but may still have work in flight.
 	lingering map[*engineOwner]struct{}
 }
 
-// New returns a Dispatcher that owns nothing until Run.
+// New returns a Dispatcher that owns no engine until Run is called.
 func New(config Config) *Dispatcher {
 	return &Dispatcher{
 		config:   config.withDefaults(),
@@ -43,10 +43,10 @@
 	}
 }
 
-// Counters counts what the Dispatcher did.
+// Counters returns the counters of the Dispatcher's activity.
 func (d *Dispatcher) Counters() *Counters { return &d.counters }
 
-// Register adds the handlers of the engine dispatcher.
+// Register adds the handlers of the engine dispatcher to a registrar.
 func (d *Dispatcher) Register(registrar peer.Registrar) {
 	registrar.HandleStream(peerapi.MethodExecute, d.execute)
 	registrar.HandleUnary(peerapi.MethodListEngines, d.listEngines)
@@ -59,7 +59,7 @@
 	return &peerapi.ListEnginesResult{Engines: d.Engines()}, nil
 }
 
-// Engines describes the engines dispatched for, by ID.
+// Engines describes the engines that this node dispatches for, ordered by ID.
 func (d *Dispatcher) Engines() []peerapi.EngineInfo {
 	infos := []peerapi.EngineInfo{}
 	for _, owner := range d.allOwners() {
@@ -69,21 +69,21 @@
 	return infos
 }
 
-// Run dispatches until the context ends, which cuts off everything in flight: call Drain before. It returns the
-// context's error.
+// Run dispatches until the context ends and returns the context's error. The end of the context cuts off all work in
+// flight; call Drain first to avoid that.
 func (d *Dispatcher) Run(ctx context.Context) error {
-	d.tasks.Go(func() { d.followFacts(ctx) })
-	steady := newSteadiness(d.config.Timing, time.Now())
+	d.tasks.Go(func() { d.watchFacts(ctx) })
+	stability := newStabilityTracker(d.config.Timing, time.Now())
 	for ctx.Err() == nil {
 		machines, members, wake := d.config.Directory.Changed(), d.config.Placer.Changed(), d.wake.changed()
-		unsteady := steady.observe(members, d.config.Joined(), time.Now())
-		placed := d.giveUpMisplaced()
-		delay := d.config.Timing.Reconcile
+		stabilityWait := stability.observe(members, d.config.Joined(), time.Now())
+		placed := d.stopMisplaced()
+		delay := d.config.Timing.ReconcileInterval
 		switch {
-		case unsteady > 0:
-			delay = unsteady
+		case stabilityWait > 0:
+			delay = stabilityWait
 		case d.openPlaced(ctx, placed):
-			delay = idleLook
+			delay = idleInterval
 		}
 		d.waitForChange(ctx, delay, machines, members, wake)
 	}
@@ -92,8 +92,8 @@
 }
 
 func (d *Dispatcher) waitForChange(ctx context.Context, delay time.Duration, machines, members, wake <-chan struct{}) {
-	// Changes come in bursts; the placement of all engines is reckoned once per burst.
-	const burst = 100 * time.Millisecond
+	// Changes come in bursts. The delay lets the placement of all engines be recomputed only once per burst.
+	const burstWindow = 100 * time.Millisecond
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
@@ -105,11 +105,12 @@
 	case <-members:
 	case <-wake:
 	}
-	waitFor(ctx, burst)
+	waitFor(ctx, burstWindow)
 }
 
-// giveUpMisplaced stops the intake of owned engines that are not placed here any more, and returns those that are.
-func (d *Dispatcher) giveUpMisplaced() map[string]platform.Machine {
+// stopMisplaced stops the intake of owned engines that are no longer placed on this node or whose address has changed,
+// and returns the engines that are placed here.
+func (d *Dispatcher) stopMisplaced() map[string]platform.Machine {
 	placed := map[string]platform.Machine{}
 	for _, machine := range d.config.Directory.Engines("") {
 		if d.placedHere(machine) {
@@ -117,33 +118,34 @@
 		}
 	}
 	for _, owner := range d.allOwners() {
-		machine, stays := placed[owner.machine.ID]
-		if !stays || machine.Address != owner.machine.Address {
+		machine, stillPlaced := placed[owner.machine.ID]
+		if !stillPlaced || machine.Address != owner.machine.Address {
 			owner.stopIntake()
 		}
 	}
 	return placed
 }
 
-// openPlaced opens the engines that are placed here. It tells whether all are open.
+// openPlaced starts to open the engines placed on this node. It reports whether there was none left to open.
 func (d *Dispatcher) openPlaced(ctx context.Context, placed map[string]platform.Machine) bool {
-	inPlace := true
+	allOpen := true
 	for id, machine := range placed {
-		if d.startOpening(id) {
-			inPlace = false
+		if d.markOpening(id) {
+			allOpen = false
 			d.tasks.Go(func() { d.open(ctx, machine) })
 		}
 	}
-	return inPlace
+	return allOpen
 }
 
+// placedHere reports whether placement assigns an engine to this node.
 func (d *Dispatcher) placedHere(machine platform.Machine) bool {
 	member, found := d.config.Placer.Owner(EngineKey(machine.ID), preferenceOf(machine))
 	return found && member.Node == d.config.Placer.Self().Node
 }
 
-// startOpening tells whether an engine has to be opened, and notes that it is.
-func (d *Dispatcher) startOpening(engine string) bool {
+// markOpening marks an engine as being opened and reports whether it needs to be.
+func (d *Dispatcher) markOpening(engine string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.draining || d.opening[engine] || d.owners[engine] != nil {
@@ -153,18 +155,18 @@
 	return true
 }
 
-// open claims an engine's shard and dispatches for the engine until it is lost.
+// open claims an engine's shard and dispatches for the engine until it is lost or released.
 func (d *Dispatcher) open(ctx context.Context, machine platform.Machine) {
 	defer d.wake.notify()
 	claimed, err := d.config.Opener.Open(ctx, EngineKey(machine.ID))
 	if err != nil {
 		errorlog.Debug(d.config.Logger, "engine could not be taken over", err, "engine", machine.ID)
-		waitFor(ctx, jittered(d.config.Timing.Reconcile))
-		d.endOpening(machine.ID)
+		waitFor(ctx, jittered(d.config.Timing.ReconcileInterval))
+		d.clearOpening(machine.ID)
 		return
 	}
 	owner := d.newOwner(ctx, machine, claimed)
-	if d.adopt(owner) {
+	if d.addOwner(owner) {
 		owner.run(ctx)
 	} else {
 		owner.stopIntake()
@@ -173,19 +175,20 @@
 	if !superseded && ctx.Err() == nil {
 		d.release(ctx, owner)
 	}
-	d.disown(owner)
+	d.retireOwner(owner)
 	if superseded {
-		// Two nodes that each believe to be placed must not take the engine from each other in a tight loop.
-		waitFor(ctx, jittered(d.config.Timing.Reconcile))
+		// Without this delay, two nodes that both regard the engine as placed on them would supersede each other in a
+		// tight loop.
+		waitFor(ctx, jittered(d.config.Timing.ReconcileInterval))
 	}
-	d.endOpening(machine.ID)
+	d.clearOpening(machine.ID)
 	d.wake.notify()
-	owner.linger()
-	d.endLingering(owner)
+	owner.awaitDrained()
+	d.removeLingering(owner)
 }
 
-// endLingering forgets an owner whose work is all settled.
-func (d *Dispatcher) endLingering(owner *engineOwner) {
+// removeLingering removes an owner whose work has all ended.
+func (d *Dispatcher) removeLingering(owner *engineOwner) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	delete(d.lingering, owner)
@@ -201,21 +204,21 @@
 	return owners
 }
 
-// empty tells whether no engine is dispatched for and nothing is in flight.
+// empty reports whether no engine is dispatched for and nothing is in flight.
 func (d *Dispatcher) empty() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return len(d.owners) == 0 && len(d.opening) == 0 && len(d.lingering) == 0
 }
 
-func (d *Dispatcher) endOpening(engine string) {
+func (d *Dispatcher) clearOpening(engine string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	delete(d.opening, engine)
 }
 
-// adopt notes an owner; false when the node stops meanwhile.
-func (d *Dispatcher) adopt(owner *engineOwner) bool {
+// addOwner registers an owner. It returns false when the node is draining.
+func (d *Dispatcher) addOwner(owner *engineOwner) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.draining {
@@ -225,8 +228,8 @@
 	return true
 }
 
-// disown ends an owner's part in new calls; what is in flight lingers.
-func (d *Dispatcher) disown(owner *engineOwner) {
+// retireOwner stops routing calls to an owner and keeps it in lingering until its work in flight has ended.
+func (d *Dispatcher) retireOwner(owner *engineOwner) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.lingering[owner] = struct{}{}
@@ -235,16 +238,16 @@
 	}
 }
 
-// release gives the shard up, so that the next dispatcher need not wait.
+// release releases the shard, so that the next dispatcher need not wait for it.
 func (d *Dispatcher) release(ctx context.Context, owner *engineOwner) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), d.config.Timing.Call)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), d.config.Timing.CallTimeout)
 	defer cancel()
 	if err := owner.shard.Release(ctx); err != nil {
-		errorlog.Warn(owner.logger, "shard was not released", err)
+		errorlog.Warn(owner.logger, "shard release failed", err)
 	}
 }
 
-// owner finds the dispatcher of an engine on this node; nil where there is none.
+// owner returns the owner of an engine on this node, or nil if there is none.
 func (d *Dispatcher) owner(engine string) *engineOwner {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -261,7 +264,7 @@
 	return owners
 }
 
-// startAsking asks the weight store for a model's newest version, in the background.
-func (d *Dispatcher) startAsking(work context.Context, model string) {
-	d.tasks.Go(func() { d.askWeightStore(work, model) })
+// startVersionQuery queries the weight store for a model's newest version in the background.
+func (d *Dispatcher) startVersionQuery(work context.Context, model string) {
+	d.tasks.Go(func() { d.queryWeightStore(work, model) })
 }
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,9 +1,10 @@
-// Package dispatch gives each model engine one dispatcher at a time: the node placed for it. The dispatcher holds the truth
-// on what is in flight at the engine, admits interactive requests, pulls training samples from the step ledgers, orders
-// weights under a fence, and hands everything back when the engine leaves or another node takes over.
+// Package dispatch implements the engine dispatcher. Placement assigns each model engine to one node, whose dispatcher
+// is authoritative for the work in flight at the engine: it admits interactive requests, pulls training samples from
+// the step ledgers, sends weight orders under a fence, and hands all work back when the engine leaves or another node
+// takes it over.
 //
-// Two dispatchers may believe in the same engine for a while. This is safe: weight orders carry the epoch of the engine's
-// shard, attempts are numbered by the step ledger, and a request is only ever run by the dispatcher that was asked.
+// Two dispatchers may own the same engine for a while. This is safe: weight orders carry the epoch of the engine's
+// shard, the step ledger numbers attempts, and only the dispatcher that received a request runs it.
 //
 // Lock order: engineOwner.mutex, then slotTable.mutex or attempt.mutex; no lock is held across I/O or a wait.
 package dispatch
--- a/internal/dispatch/engine_state.go
+++ b/internal/dispatch/engine_state.go
@@ -7,7 +7,7 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// States of an engine, as EngineInfo.State tells them.
+// States of an engine, as reported in EngineInfo.State.
 const (
 	StateUnknown     = "unknown"
 	StateServing     = "serving"
@@ -17,15 +17,15 @@
 	StateDown        = "down"
 )
 
-// maxStatusFailures is how many status reads may fail in a row before the engine counts as down.
+// maxStatusFailures is the number of consecutive failed status reads after which an engine counts as down.
 const maxStatusFailures = 3
 
-// engineState is what is known of an engine, from its status and from its tokens.
+// engineState holds what is known of an engine from its status and its tokens.
 type engineState struct {
 	notify *notifier
 
 	mutex       sync.Mutex
-	seen        bool
+	hasStatus   bool
 	incarnation uint64
 	served      map[string]uint64
 	leaving     bool
@@ -49,14 +49,14 @@
 	e.notify.notify()
 }
 
-// observeStatus takes a status in. It tells whether the engine is a new process, which has lost all its streams.
+// observeStatus records a status. It reports whether the engine is a new process, which has lost all its streams.
 func (e *engineState) observeStatus(status platform.EngineStatus) (restarted bool) {
 	e.update(func() {
-		restarted = e.seen && status.Incarnation != e.incarnation
+		restarted = e.hasStatus && status.Incarnation != e.incarnation
 		if restarted {
 			clear(e.quarantined)
 		}
-		e.seen = true
+		e.hasStatus = true
 		e.failures = 0
 		e.incarnation = status.Incarnation
 		e.served = maps.Clone(status.Served)
@@ -65,7 +65,7 @@
 	return restarted
 }
 
-// observeFailure counts a status read that failed, and tells whether the engine counts as down from now on.
+// observeFailure counts a failed status read and reports whether it is the one that marks the engine as down.
 func (e *engineState) observeFailure() (down bool) {
 	e.update(func() {
 		e.failures++
@@ -74,24 +74,25 @@
 	return down
 }
 
-// contradicts tells whether a version is another than the one that the engine is thought to serve.
-func (e *engineState) contradicts(model string, version uint64) bool {
+// differsFromServed reports whether a version differs from the one that the engine is assumed to serve.
+func (e *engineState) differsFromServed(model string, version uint64) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.served[model] != version
 }
 
-// quarantine keeps new work of a model away until a load order was seen to succeed. It tells whether that is news.
-func (e *engineState) quarantine(model string) (isNews bool) {
+// quarantine marks a model as receiving no new work until a load order is verified. It reports whether the model was
+// not quarantined before.
+func (e *engineState) quarantine(model string) (added bool) {
 	e.update(func() {
-		isNews = !e.quarantined[model]
+		added = !e.quarantined[model]
 		e.quarantined[model] = true
 	})
-	return isNews
+	return added
 }
 
-// verified notes that the engine was seen to serve what it was ordered to.
-func (e *engineState) verified(model string, version uint64) {
+// recordVerified records that the engine's status showed the version of a load order.
+func (e *engineState) recordVerified(model string, version uint64) {
 	e.update(func() {
 		e.served[model] = version
 		delete(e.quarantined, model)
@@ -104,7 +105,7 @@
 
 // engineView is a copy of an engineState.
 type engineView struct {
-	seen        bool
+	hasStatus   bool
 	down        bool
 	leaving     bool
 	loading     bool
@@ -117,7 +118,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return engineView{
-		seen:        e.seen,
+		hasStatus:   e.hasStatus,
 		down:        e.failures >= maxStatusFailures,
 		leaving:     e.leaving,
 		loading:     e.loading,
@@ -127,15 +128,15 @@
 	}
 }
 
-// reachable tells whether the engine can be given anything.
+// reachable reports whether the engine's status is known and the engine is not down.
 func (v engineView) reachable() bool {
-	return v.seen && !v.down
+	return v.hasStatus && !v.down
 }
 
-// name tells the state for EngineInfo.
-func (v engineView) name() string {
+// stateName returns the state for EngineInfo.
+func (v engineView) stateName() string {
 	switch {
-	case !v.seen:
+	case !v.hasStatus:
 		return StateUnknown
 	case v.down:
 		return StateDown
--- a/internal/dispatch/execute.go
+++ b/internal/dispatch/execute.go
@@ -11,10 +11,10 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// errDeadline ends a request whose time is up.
+// errDeadline ends a request whose deadline has passed.
 var errDeadline = errors.New("deadline passed")
 
-// requestKey tells apart the requests in flight at an engine.
+// requestKey identifies a request in flight at an engine.
 type requestKey struct {
 	workload  string
 	requestID string
@@ -27,13 +27,13 @@
 	request  *peerapi.Execute
 	workload *bundle.Workload
 	stream   peer.ServerStream
-	// engineRequestID is unlike that of any other workload's request.
+	// engineRequestID is unique among the requests of all workloads.
 	engineRequestID string
 	sent            int
 }
 
-// execute answers MethodExecute: admission, the engine's stream, and exactly one event with an outcome. Every error it
-// returns before the first event is a refusal that proves that nothing ran.
+// execute handles MethodExecute: it admits the request, forwards the engine's stream, and sends exactly one event with
+// an outcome. Every error that it returns before the first event is a refusal, which proves that nothing ran.
 func (d *Dispatcher) execute(ctx context.Context, decode peer.Decode, stream peer.ServerStream) error {
 	request := &peerapi.Execute{}
 	if err := decode(request); err != nil {
@@ -69,7 +69,7 @@
 	if request.TimeoutMillis < 0 {
 		return nil, invalid("deadline has passed")
 	}
-	if _, ok := o.takesWork(workload); !ok {
+	if _, ok := o.acceptsWork(workload); !ok {
 		return nil, notReady("engine takes no work of this workload now")
 	}
 	return &requestRun{
@@ -86,26 +86,26 @@
 	return &peer.Error{Code: peer.CodeInvalid, Message: reason}
 }
 
-// run queues the request, runs it, and tells the outcome.
+// run queues the request, runs it, and sends the outcome.
 func (r *requestRun) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	remaining := r.remaining()
-	if remaining > 0 {
-		timer := time.AfterFunc(remaining, func() { cancel(errDeadline) })
+	timeout := r.timeout()
+	if timeout > 0 {
+		timer := time.AfterFunc(timeout, func() { cancel(errDeadline) })
 		defer timer.Stop()
 	}
 	if err := r.owner.registerRequest(r.key(), cancel); err != nil {
 		return err
 	}
-	defer r.owner.forgetRequest(r.key())
-	if err := r.admit(ctx, remaining); err != nil {
+	defer r.owner.unregisterRequest(r.key())
+	if err := r.admit(ctx, timeout); err != nil {
 		r.owner.dispatcher.counters.RequestsRefused.Add(1)
 		return err
 	}
 	began := time.Now()
-	defer func() { r.owner.slots.finish(r.request.Workload, time.Since(began)) }()
-	if _, ok := r.owner.takesWork(r.workload); !ok {
+	defer func() { r.owner.slots.finishRequest(r.request.Workload, time.Since(began)) }()
+	if _, ok := r.owner.acceptsWork(r.workload); !ok {
 		r.owner.dispatcher.counters.RequestsRefused.Add(1)
 		return notReady("engine stopped to take work of this workload")
 	}
@@ -117,18 +117,18 @@
 	return requestKey{workload: r.request.Workload, requestID: r.request.RequestID, attempt: r.request.Attempt}
 }
 
-// remaining is the time the request may take; 0 is no limit.
-func (r *requestRun) remaining() time.Duration {
-	remaining := time.Duration(r.request.TimeoutMillis) * time.Millisecond
+// timeout returns the time limit of the request; 0 means no limit.
+func (r *requestRun) timeout() time.Duration {
+	timeout := time.Duration(r.request.TimeoutMillis) * time.Millisecond
 	limit := time.Duration(r.workload.Limits.Timeout)
-	if limit > 0 && (remaining <= 0 || limit < remaining) {
+	if limit > 0 && (timeout <= 0 || limit < timeout) {
 		return limit
 	}
-	return max(0, remaining)
+	return max(0, timeout)
 }
 
-// queueTime is how long the request may wait for a slot; 0 is no limit.
-func (r *requestRun) queueTime(remaining time.Duration) time.Duration {
+// queueTimeout returns how long the request may wait for a slot; 0 means no limit.
+func (r *requestRun) queueTimeout(remaining time.Duration) time.Duration {
 	limit := time.Duration(r.request.QueueMillis) * time.Millisecond
 	if limit > 0 && (remaining <= 0 || limit < remaining) {
 		return limit
@@ -136,12 +136,12 @@
 	return remaining
 }
 
-// admit waits for a slot. Errors prove that nothing ran.
+// admit waits for a slot. An error proves that nothing ran.
 func (r *requestRun) admit(ctx context.Context, remaining time.Duration) error {
-	remaining = r.queueTime(remaining)
-	var ended <-chan time.Time
+	remaining = r.queueTimeout(remaining)
+	var expired <-chan time.Time
 	if remaining > 0 {
-		ended = time.After(remaining)
+		expired = time.After(remaining)
 	}
 	waiting, err := r.owner.slots.enqueue(r.request.Workload, remaining)
 	if err != nil {
@@ -152,7 +152,7 @@
 		return nil
 	case <-waiting.refused:
 		return notReady("engine takes no more work")
-	case <-ended:
+	case <-expired:
 		r.owner.slots.abandon(waiting)
 		return notReady("request ended in the queue: " + errDeadline.Error())
 	case <-ctx.Done():
@@ -174,7 +174,7 @@
 		Priority:  interactivePriority,
 	})
 	if err != nil {
-		return r.fail(ctx, err)
+		return r.sendFailure(ctx, err)
 	}
 	defer func() { _ = stream.Close() }()
 	if err := r.stream.Send(&peerapi.ExecuteEvent{
@@ -184,19 +184,19 @@
 		Accepted:  true,
 		Load:      r.owner.slots.load(),
 	}); err != nil {
-		return r.fail(ctx, err)
+		return r.sendFailure(ctx, err)
 	}
-	order := newAssembler(r.engineRequestID, r.request.Attempt, len(r.request.Resume))
-	err = order.receive(stream, r.send)
-	r.owner.dispatcher.counters.countDrops(order)
+	asm := newAssembler(r.engineRequestID, r.request.Attempt, len(r.request.Resume))
+	err = asm.receive(stream, r.sendChunk)
+	r.owner.dispatcher.counters.countDrops(asm)
 	if err != nil {
-		return r.fail(ctx, err)
+		return r.sendFailure(ctx, err)
 	}
 	return r.sendOutcome(peerapi.OutcomeCompleted, "")
 }
 
-// send sends a chunk on, if its version may be delivered.
-func (r *requestRun) send(chunk platform.Chunk) error {
+// sendChunk forwards a chunk to the caller, if its version is accepted.
+func (r *requestRun) sendChunk(chunk platform.Chunk) error {
 	if err := r.owner.checkVersion(r.request.Workload, r.workload.Model, chunk.Version); err != nil {
 		return err
 	}
@@ -211,12 +211,13 @@
 	})
 }
 
-// fail stops the request at the engine and tells what is known of its end.
-func (r *requestRun) fail(ctx context.Context, err error) error {
+// sendFailure sends the outcome of a failed request and cancels the request at the engine if it may have run.
+func (r *requestRun) sendFailure(ctx context.Context, err error) error {
 	if provenNotRun(err) && r.sent == len(r.request.Resume) {
 		return r.sendOutcome(peerapi.OutcomeNotRun, err.Error())
 	}
-	// The caller learns of the end first: an engine that is down takes its time to be cancelled.
+	// The outcome is sent before the cancellation, because cancelling at an engine that is down takes until the
+	// timeout.
 	defer r.owner.cancelAtEngine(r.engineRequestID, r.request.Attempt)
 	cause := context.Cause(ctx)
 	if errors.Is(cause, errDeadline) {
@@ -239,7 +240,7 @@
 	})
 }
 
-// registerRequest notes a request in flight; the same attempt is not run twice at once.
+// registerRequest records a request in flight. It returns an error if the same attempt is already running.
 func (o *engineOwner) registerRequest(key requestKey, cancel context.CancelCauseFunc) error {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -250,14 +251,14 @@
 	return nil
 }
 
-func (o *engineOwner) forgetRequest(key requestKey) {
+func (o *engineOwner) unregisterRequest(key requestKey) {
 	o.mutex.Lock()
 	delete(o.requests, key)
 	o.mutex.Unlock()
-	o.settled.notify()
+	o.workEnded.notify()
 }
 
-// cancelRequests ends all requests in flight.
+// cancelRequests cancels all requests in flight.
 func (o *engineOwner) cancelRequests(cause error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/dispatch/handover.go
+++ b/internal/dispatch/handover.go
@@ -17,7 +17,8 @@
 	return placement.Preference{Zone: machine.Zone, Region: machine.Region}
 }
 
-// notOwner refuses a call for an engine that is dispatched elsewhere, and tells where, as far as placement knows.
+// notOwner returns the refusal of a call for an engine that another node dispatches for, with the owner's address if
+// placement knows it.
 func (d *Dispatcher) notOwner(engine string) error {
 	refusal := &peer.Error{Code: peer.CodeNotOwner, Message: "engine " + engine + " is dispatched elsewhere"}
 	for _, machine := range d.config.Directory.Engines("") {
@@ -35,30 +36,31 @@
 	return refusal
 }
 
-// Handover settles the work at the engine of a shard stream that is about to be released. Streams of other kinds are
-// none of its business. It returns when nothing is in flight any more, or the context ends.
+// Handover drains the work at the engine of a shard stream that is about to be released, and ignores streams of other
+// kinds. It returns when nothing is in flight, or when the context ends.
 func (d *Dispatcher) Handover(ctx context.Context, stream string) {
 	engine, isEngine := strings.CutPrefix(stream, EngineStreamPrefix)
 	if !isEngine {
 		return
 	}
 	if owner := d.owner(engine); owner != nil {
-		if err := owner.settle(ctx); err != nil {
+		if err := owner.drain(ctx); err != nil {
 			errorlog.Warn(owner.logger, "engine is handed over with work in flight", err, "requests", owner.requestCount())
 		}
 	}
 }
 
-// Drain stops as planned: no engine takes new work here, training samples are handed back, requests in flight finish,
-// finished samples are handed in, and the shards are released. It returns nil once nothing is left; if the context ends
-// before, what is left goes on until Run's context ends, and the error tells how many requests there were.
+// Drain performs a planned stop: engines accept no new work on this node, training samples are handed back, requests in
+// flight finish, finished samples are submitted, and the shards are released. It returns nil once nothing is left. If
+// the context ends first, the remaining work continues until Run's context ends, and the error has the number of
+// requests in flight.
 func (d *Dispatcher) Drain(ctx context.Context) error {
 	d.mutex.Lock()
 	d.draining = true
 	d.mutex.Unlock()
 	var group sync.WaitGroup
 	for _, owner := range d.allOwners() {
-		group.Go(func() { _ = owner.settle(ctx) })
+		group.Go(func() { _ = owner.drain(ctx) })
 	}
 	group.Wait()
 	for ctx.Err() == nil {
--- a/internal/dispatch/leaving_test.go
+++ b/internal/dispatch/leaving_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// arrivalRecorder notes when work reaches an engine, also work that it refuses.
+// arrivalRecorder records when work arrives at an engine, including work that the engine refuses.
 type arrivalRecorder struct {
 	mutex    sync.Mutex
 	received []time.Time
@@ -34,85 +34,87 @@
 }
 
 func TestLeavingEngineFinishesOrHandsBack(t *testing.T) {
-	signs := map[string]func(*world){
-		"engine": func(w *world) { w.engines["e1"].Leave() },
-		"list":   func(w *world) { w.list.leave(0) },
-		"fact":   func(w *world) { w.machines.MarkLeaving("e1") },
+	triggers := map[string]func(*harness){
+		"engine": func(h *harness) { h.engines["e1"].Leave() },
+		"list":   func(h *harness) { h.list.leave(0) },
+		"fact":   func(h *harness) { h.machines.MarkLeaving("e1") },
 	}
-	for name, sign := range signs {
+	for name, trigger := range triggers {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				starts := &arrivalRecorder{}
-				leaver := engineConfig("e1")
-				leaver.Observer = starts
-				w := newWorld(t, bundleOf(training("a", 0.5), interactive("search", 0.5)), leaver, engineConfig("e2"))
-				w.add("a", 40, 2000, 0)
+				arrivals := &arrivalRecorder{}
+				leavingConfig := engineConfig("e1")
+				leavingConfig.Observer = arrivals
+				h := newHarness(t, bundleOf(training("a", 0.5), interactive("search", 0.5)), leavingConfig, engineConfig("e2"))
+				h.add("a", 40, 2000, 0)
 				time.Sleep(time.Second)
 				var queued *fakeStream
 				for i := range 8 {
-					queued = w.request(t.Context(), ask(fmt.Sprint("r", i), 900))
+					queued = h.request(t.Context(), executeRequest(fmt.Sprint("r", i), 900))
 					time.Sleep(50 * time.Millisecond)
 				}
-				sign(w)
-				signed := time.Now()
+				trigger(h)
+				triggeredAt := time.Now()
 				time.Sleep(4 * time.Second)
 				_, _, refusal := queued.wait(nil)
-				is.True(refusal != nil) // who waited for a slot is sent to another engine
-				is.Equal(w.Engines()[0].State, StateLeaving)
-				is.True(w.machines.Leaving("e1")) // and all other nodes are told
-				before, _ := w.engines["e1"].Status(t.Context())
-				is.Equal(before.Running, 4) // what runs may finish
+				is.True(refusal != nil) // a queued request is refused, so that its caller can choose another engine
+				is.Equal(h.Engines()[0].State, StateLeaving)
+				is.True(h.machines.Leaving("e1")) // the directory publishes it to the other nodes
+				before, _ := h.engines["e1"].Status(t.Context())
+				is.Equal(before.Running, 4) // running streams may finish
 				time.Sleep(12 * time.Second)
-				after, _ := w.engines["e1"].Status(t.Context())
-				is.True(after.Running < 4) // training work that lasts too long is handed back, requests finish
+				after, _ := h.engines["e1"].Status(t.Context())
+				is.True(after.Running < 4) // training work beyond the grace period is handed back; requests finish
 				time.Sleep(time.Hour)
-				checkWhole(t, w, 40, 2000)
-				for _, started := range starts.times() {
-					is.True(started.Before(signed.Add(3 * time.Second)))
+				checkCompleted(t, h, 40, 2000)
+				for _, arrival := range arrivals.times() {
+					is.True(arrival.Before(triggeredAt.Add(3 * time.Second)))
 				}
 			})
 		})
 	}
 }
 
-func TestPullThatIsUnderWayWhenTheEngineLeaves(t *testing.T) {
-	signs := map[string]func(*world){
-		"leaving": func(w *world) { w.machines.MarkLeaving("e1") },
-		"handover": func(w *world) {
-			w.placer.move()
-			w.Handover(w.t.Context(), EngineKey("e1"))
+// TestSamplesPulledWhileEngineLeavesAreHandedBack covers an engine that leaves or is handed over while a pull is in
+// flight: the samples in the response must be handed back without reaching the engine.
+func TestSamplesPulledWhileEngineLeavesAreHandedBack(t *testing.T) {
+	triggers := map[string]func(*harness){
+		"leaving": func(h *harness) { h.machines.MarkLeaving("e1") },
+		"handover": func(h *harness) {
+			h.placer.moveAway()
+			h.Handover(h.t.Context(), EngineKey("e1"))
 		},
 	}
-	for name, sign := range signs {
+	for name, trigger := range triggers {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(t, bundleOf(training("a", 1)), engineConfig("e1"))
-				w.set(func() { w.pullDelay = 2 * time.Second })
-				w.add("a", 4, 100, 0)
+				h := newHarness(t, bundleOf(training("a", 1)), engineConfig("e1"))
+				h.set(func() { h.pullDelay = 2 * time.Second })
+				h.add("a", 4, 100, 0)
 				time.Sleep(time.Second)
-				sign(w)
+				trigger(h)
 				time.Sleep(3 * time.Second)
-				_, failures := w.snapshot()
-				is.Equal(len(failures), 4) // handed back without waiting to be missed
-				generations, _ := w.probes["e1"].counts("")
+				_, failures := h.snapshot()
+				is.Equal(len(failures), 4) // handed back at once, not after the ledger misses their reports
+				generations, _ := h.recorders["e1"].counts("")
 				is.Equal(generations, 0)
 			})
 		})
 	}
 }
 
-func TestEngineThatComesBackAfterLeavingServesAgain(t *testing.T) {
+func TestRestartedEngineServesAfterLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, bundleOf(training("a", 1)), engineConfig("e1"))
-		w.engines["e1"].Leave()
+		h := newHarness(t, bundleOf(training("a", 1)), engineConfig("e1"))
+		h.engines["e1"].Leave()
 		time.Sleep(10 * time.Second)
-		w.engines["e1"].Restart()
+		h.engines["e1"].Restart()
 		time.Sleep(5 * time.Second)
-		is.New(t).True(!w.machines.Leaving("e1"))
-		w.add("a", 4, 50, 0)
+		is.New(t).True(!h.machines.Leaving("e1"))
+		h.add("a", 4, 50, 0)
 		time.Sleep(30 * time.Second)
-		checkWhole(t, w, 4, 50)
+		checkCompleted(t, h, 4, 50)
 	})
 }
--- a/internal/dispatch/ledger_test.go
+++ b/internal/dispatch/ledger_test.go
@@ -11,28 +11,29 @@
 	"github.com/hillfork/hillfork/internal/standin/engine"
 )
 
-// fakeLedger holds the samples of all step shards. Failed samples wait again, resumed where the attempt ended.
+// fakeLedger is a step ledger with the samples of all step shards. Failed samples wait again and resume where the
+// attempt ended.
 type fakeLedger struct {
 	mutex   sync.Mutex
 	changed *notifier
-	// failure, if set, answers every call.
+	// failure, if set, is returned by every call.
 	failure error
-	// completeFailure, if set, answers every completion.
+	// completeFailure, if set, is returned by every completion.
 	completeFailure error
-	// pullDelay holds back the answers of pulls that take samples.
+	// pullDelay delays the responses to pulls with free slots.
 	pullDelay time.Duration
-	// careless gives samples to engines whatever version they serve.
-	careless  bool
-	latest    uint64
-	waiting   map[string][]peerapi.Assignment
-	running   map[runningKey]peerapi.Assignment
-	completed []*peerapi.CompleteSample
-	failures  []peerapi.Progress
-	cancel    []peerapi.AttemptRef
-	calls     map[string]int
+	// ignoreVersions assigns samples to engines regardless of the version that they serve.
+	ignoreVersions bool
+	latest         uint64
+	waiting        map[string][]peerapi.Assignment
+	running        map[runningKey]peerapi.Assignment
+	completed      []*peerapi.CompleteSample
+	failures       []peerapi.Progress
+	cancel         []peerapi.AttemptRef
+	calls          map[string]int
 }
 
-// runningKey names an attempt at a sample of the only step.
+// runningKey identifies an attempt at a sample of the only step.
 type runningKey struct {
 	workload string
 	index    int
@@ -46,17 +47,17 @@
 	}
 }
 
-// promptOf asks a stand-in engine for an answer of so many tokens.
-func promptOf(length, salt int) []uint32 {
+// promptForLength returns a prompt for which a stand-in engine generates an answer of the given number of tokens.
+func promptForLength(length, salt int) []uint32 {
 	return []uint32{uint32(length), engine.LengthMarker, uint32(salt)}
 }
 
-// add makes samples of a step wait.
+// add adds waiting samples of one step.
 func (f *fakeLedger) add(workload string, count, length int, minVersion uint64) {
 	f.mutex.Lock()
 	for i := range count {
 		f.waiting[StepShardKey(workload, 0)] = append(f.waiting[StepShardKey(workload, 0)], peerapi.Assignment{
-			Workload: workload, Index: i, Attempt: 1, Model: "m", Prompt: promptOf(length, i),
+			Workload: workload, Index: i, Attempt: 1, Model: "m", Prompt: promptForLength(length, i),
 			MaxTokens: 100000, MinVersion: minVersion,
 		})
 	}
@@ -105,17 +106,17 @@
 	for {
 		changed := f.changed.changed()
 		f.mutex.Lock()
-		var left []peerapi.Assignment
+		var remaining []peerapi.Assignment
 		for _, assignment := range f.waiting[key] {
-			if len(result.Assignments) < request.FreeSlots && (f.careless || request.ServedVersion >= assignment.MinVersion) {
+			if len(result.Assignments) < request.FreeSlots && (f.ignoreVersions || request.ServedVersion >= assignment.MinVersion) {
 				result.Assignments = append(result.Assignments, assignment)
 				f.running[runningKey{assignment.Workload, assignment.Index, assignment.Attempt}] = assignment
 				continue
 			}
-			left = append(left, assignment)
+			remaining = append(remaining, assignment)
 		}
-		f.waiting[key] = left
-		result.Backlog, result.Latest = len(left), f.latest
+		f.waiting[key] = remaining
+		result.Backlog, result.Latest = len(remaining), f.latest
 		f.mutex.Unlock()
 		if len(result.Assignments) > 0 || request.FreeSlots == 0 && result.Backlog > 0 || result.Latest > request.KnownLatest {
 			return nil
@@ -144,7 +145,7 @@
 		f.failures = append(f.failures, progress)
 		delete(f.running, reference)
 		assignment.Attempt++
-		if len(progress.Partial) > len(assignment.Resume) { // like the real one, it keeps the longest part
+		if len(progress.Partial) > len(assignment.Resume) { // like the step ledger, keeps the longest partial answer
 			assignment.Resume, assignment.ResumeSpans = progress.Partial, progress.Spans
 		}
 		f.waiting[key] = append(f.waiting[key], assignment)
@@ -158,7 +159,7 @@
 	return f.calls[method]
 }
 
-// snapshot tells the completions and failures so far.
+// snapshot returns the completions and failures so far.
 func (f *fakeLedger) snapshot() (completed []*peerapi.CompleteSample, failures []peerapi.Progress) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/dispatch/loader.go
+++ b/internal/dispatch/loader.go
@@ -13,20 +13,20 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// errUnverified says that a load was acknowledged, but the engine serves another version.
-var errUnverified = errors.New("engine does not serve what it was ordered to")
+// errUnverified means that the engine acknowledged a load but serves another version.
+var errUnverified = errors.New("engine does not serve the ordered version")
 
-// loadWeights keeps the engine on the desired versions until the context ends. Orders are given one at a time, because an
-// engine refuses an order that was overtaken by a newer one.
+// loadWeights keeps the engine on the desired versions until the context ends. It sends one order at a time, because an
+// engine refuses an order that arrives after a newer one.
 func (o *engineOwner) loadWeights(ctx context.Context) {
-	pauses := o.config.Timing.newBackoff()
+	retryBackoff := o.config.Timing.newBackoff()
 	for ctx.Err() == nil {
 		state, versions := o.state.notify.changed(), o.dispatcher.versions.notify.changed()
 		slots := o.slots.notify.changed()
 		plan, delay, due := o.nextLoad()
 		var idle <-chan struct{}
-		if delay < idleLook {
-			idle = slots // a load is pending, which an idle engine need not wait for
+		if delay < idleInterval {
+			idle = slots // a load is pending, and an engine that becomes idle need not wait for its wave
 		}
 		if !due {
 			waitFor(ctx, delay, state, versions, idle)
@@ -35,12 +35,12 @@
 		err := o.load(ctx, plan)
 		switch {
 		case err == nil:
-			pauses.Reset()
+			retryBackoff.Reset()
 		case errors.Is(err, platform.ErrStaleOrder):
 			o.stepDown()
 		default:
 			o.countLoadFailure(err)
-			waitFor(ctx, pauses.NextBackOff())
+			waitFor(ctx, retryBackoff.NextBackOff())
 		}
 	}
 }
@@ -58,17 +58,17 @@
 	errorlog.Warn(o.logger, "weights were not loaded", err)
 }
 
-// idleLook is how long the loader rests when nothing is due and nothing changes.
-const idleLook = time.Minute
+// idleInterval is the wait between checks when nothing is due and nothing changes.
+const idleInterval = time.Minute
 
-// nextLoad returns the load that is due now, or how long it is until one may be.
+// nextLoad returns the load that is due now, or how long to wait until one may be due.
 func (o *engineOwner) nextLoad() (plan modelPlan, delay time.Duration, due bool) {
 	accepted := o.config.Bundles.Current()
 	view := o.state.view()
 	if accepted == nil || !view.reachable() {
-		return modelPlan{}, idleLook, false
+		return modelPlan{}, idleInterval, false
 	}
-	delay = idleLook
+	delay = idleInterval
 	for _, candidate := range planModels(&accepted.Bundle, o.machine.Pool, o.dispatcher.versions.latest) {
 		if !needsLoad(candidate, view) {
 			continue
@@ -82,7 +82,7 @@
 	return modelPlan{}, delay, false
 }
 
-// needsLoad tells whether the engine has to be ordered to load.
+// needsLoad reports whether a load must be ordered.
 func needsLoad(plan modelPlan, view engineView) bool {
 	if plan.desired == 0 {
 		return false
@@ -90,11 +90,12 @@
 	return view.served[plan.model] != plan.desired || view.quarantined[plan.model]
 }
 
-// untilWave is how long it is until the engine's wave starts. An engine that serves nothing of use does not wait for it,
-// nor does an idle one in a pool without interactive work.
+// untilWave returns the time until the engine's wave starts. It is 0 for an engine that is quarantined or serves no
+// accepted version, for an idle engine in a pool without interactive workloads, and if the policy swaps the whole pool
+// at once.
 func (o *engineOwner) untilWave(current *bundle.Bundle, plan modelPlan, view engineView) time.Duration {
 	served, serves := view.served[plan.model]
-	if !serves || view.quarantined[plan.model] || !o.useful(current, plan.model, served) {
+	if !serves || view.quarantined[plan.model] || !o.anyWorkloadAccepts(current, plan.model, served) {
 		return 0
 	}
 	if o.slots.idle() && !hasInteractive(current, o.machine.Pool) {
@@ -107,12 +108,12 @@
 	floor := servingFloor(current, o.machine.Pool)
 	wave := policy.WaveOf(engines, o.machine.ID, plan.model, plan.desired, floor)
 	waves := policy.WaveCount(len(engines), floor)
-	delay := policy.WaveDelay(wave, waves, o.config.Timing.Roll, o.config.Timing.Wave)
+	delay := policy.WaveDelay(wave, waves, o.config.Timing.RollDuration, o.config.Timing.MaxWaveInterval)
 	return time.Until(plan.since.Add(delay))
 }
 
-// useful tells whether any workload of the pool accepts the version that the engine serves.
-func (o *engineOwner) useful(current *bundle.Bundle, model string, version uint64) bool {
+// anyWorkloadAccepts reports whether any workload of the pool accepts a version of a model.
+func (o *engineOwner) anyWorkloadAccepts(current *bundle.Bundle, model string, version uint64) bool {
 	for _, workload := range poolWorkloads(current, o.machine.Pool) {
 		if workload.Model == model && versionBounds(workload).Accept(version) {
 			return true
@@ -138,7 +139,7 @@
 	return found.ServingFloor
 }
 
-// poolEngines names the engines of the pool that are not leaving.
+// poolEngines returns the IDs of the pool's engines that are not leaving.
 func (o *engineOwner) poolEngines() []string {
 	var names []string
 	for _, machine := range o.config.Directory.Engines(o.machine.Pool) {
@@ -149,36 +150,36 @@
 	return names
 }
 
-// load brings the engine to the desired version and returns nil once it was seen to serve it.
+// load loads the desired version and returns nil once the engine's status shows it.
 func (o *engineOwner) load(ctx context.Context, plan modelPlan) error {
 	before := o.state.view()
 	o.state.setLoading(true)
 	defer o.state.setLoading(false)
 	order := platform.LoadOrder{Fence: o.nextFence(), Model: plan.model, Version: plan.desired}
 	o.dispatcher.counters.WeightOrders.Add(1)
-	if err := o.order(ctx, order); err != nil {
+	if err := o.sendLoadOrder(ctx, order); err != nil {
 		return err
 	}
-	// A status that shows the ordered version proves the load, if the last one showed another.
-	shows := before.served[order.Model] != order.Version && !before.quarantined[order.Model]
-	return o.verify(ctx, order, shows)
+	// A status with the ordered version proves the load only if the previous status showed another version.
+	provesLoad := before.served[order.Model] != order.Version && !before.quarantined[order.Model]
+	return o.verify(ctx, order, provesLoad)
 }
 
-func (o *engineOwner) order(ctx context.Context, order platform.LoadOrder) error {
-	ctx, cancel := context.WithTimeout(ctx, o.config.Timing.Load)
+func (o *engineOwner) sendLoadOrder(ctx context.Context, order platform.LoadOrder) error {
+	ctx, cancel := context.WithTimeout(ctx, o.config.Timing.LoadTimeout)
 	defer cancel()
 	return oops.With("model", order.Model, "version", order.Version).Wrapf(o.engine.Load(ctx, order), "load weights")
 }
 
-// verifySteps is how many times the status is read within its lag.
-const verifySteps = 5
+// verifyReads is the maximum number of status reads within the status lag.
+const verifyReads = 5
 
-// verify reads the status until it is newer than the order, and compares. early accepts the first status that shows the
-// ordered version.
+// verify reads the status until it is newer than the order, and compares the versions. early accepts the first status
+// that shows the ordered version; otherwise only the last read, after the full status lag, counts.
 func (o *engineOwner) verify(ctx context.Context, order platform.LoadOrder, early bool) error {
-	for step := 1; step <= verifySteps; step++ {
-		waitFor(ctx, o.config.Timing.StatusLag/verifySteps)
-		if !early && step < verifySteps {
+	for read := 1; read <= verifyReads; read++ {
+		waitFor(ctx, o.config.Timing.StatusLag/verifyReads)
+		if !early && read < verifyReads {
 			continue
 		}
 		status, err := o.readStatus(ctx)
@@ -186,7 +187,7 @@
 			return err
 		}
 		if status.Served[order.Model] == order.Version {
-			o.state.verified(order.Model, order.Version)
+			o.state.recordVerified(order.Model, order.Version)
 			return nil
 		}
 	}
--- a/internal/dispatch/notifier.go
+++ b/internal/dispatch/notifier.go
@@ -9,7 +9,7 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// notifier wakes all who wait for a change. Take the channel before looking at what may change.
+// notifier wakes all goroutines that wait for a change. Get the channel before reading the state that may change.
 type notifier struct {
 	mutex   sync.Mutex
 	channel chan struct{}
@@ -32,11 +32,11 @@
 	n.channel = make(chan struct{})
 }
 
-// waitUntil returns once holds is true, or with the context's error.
-func (n *notifier) waitUntil(ctx context.Context, holds func() bool) error {
+// waitUntil returns nil once condition is true, or the context's error.
+func (n *notifier) waitUntil(ctx context.Context, condition func() bool) error {
 	for {
 		changed := n.changed()
-		if holds() {
+		if condition() {
 			return nil
 		}
 		select {
@@ -47,7 +47,7 @@
 	}
 }
 
-// maxWatched is how many changes one waitFor can watch.
+// maxWatched is the maximum number of changes that one waitFor can watch.
 const maxWatched = 3
 
 // waitFor returns after the delay, at the first of at most maxWatched changes, or when the context ends.
@@ -65,16 +65,16 @@
 	}
 }
 
-// jittered spreads a delay by a fifth around itself.
+// jittered returns the delay multiplied by a random factor from 0.9 to 1.1.
 func jittered(delay time.Duration) time.Duration {
 	return time.Duration(float64(delay) * (0.9 + 0.2*rand.Float64()))
 }
 
-// newBackoff returns the pauses after failures in a row.
+// newBackoff returns the backoff between retries after consecutive failures.
 func (t Timing) newBackoff() *backoff.ExponentialBackOff {
-	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = t.RetryMin
-	pauses.MaxInterval = t.RetryMax
-	pauses.Reset()
-	return pauses
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.InitialInterval = t.RetryMin
+	retryBackoff.MaxInterval = t.RetryMax
+	retryBackoff.Reset()
+	return retryBackoff
 }
--- a/internal/dispatch/owner.go
+++ b/internal/dispatch/owner.go
@@ -18,15 +18,16 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// Causes that end a training attempt early. All but errUseless hand the tokens so far back to the step ledger.
+// Causes that end a training attempt early. All but errNotNeeded hand the tokens generated so far back to the step
+// ledger.
 var (
 	errPreempted  = errors.New("slot was reclaimed")
-	errHandBack   = errors.New("engine is handed over or leaves")
+	errHandBack   = errors.New("engine is being handed over or is leaving")
 	errEngineDown = errors.New("engine is down")
-	errUseless    = errors.New("step ledger has no more use for the attempt")
+	errNotNeeded  = errors.New("step ledger no longer needs the attempt")
 )
 
-// engineOwner is the dispatcher of one engine, from the claim of its shard until the work is settled.
+// engineOwner is the dispatcher of one engine, from the claim of its shard until its work has ended.
 type engineOwner struct {
 	dispatcher *Dispatcher
 	config     *Config
@@ -36,19 +37,19 @@
 	shard      shard.Owner
 	slots      *slotTable
 	state      *engineState
-	// work ends when the process stops at once; attempts and completions live by it.
+	// work ends when the process stops without a drain; attempts and completions run under it.
 	work context.Context
-	// intake ends when no more new work is taken.
+	// intake ends when the owner stops accepting new work.
 	intake     context.Context
 	stopIntake context.CancelFunc
 	loops      sync.WaitGroup
-	// settled wakes those who wait for the work in flight to end.
-	settled *notifier
+	// workEnded is notified when work in flight ends.
+	workEnded *notifier
 
 	mutex    sync.Mutex
 	sequence uint64
-	cooling  cooldown
-	links    map[linkKey]*workLink
+	cooldown cooldown
+	links    map[linkKey]*stepShardLink
 	requests map[requestKey]context.CancelCauseFunc
 }
 
@@ -65,63 +66,65 @@
 		work:       work,
 		intake:     intake,
 		stopIntake: stopIntake,
-		settled:    newNotifier(),
-		links:      map[linkKey]*workLink{},
+		workEnded:  newNotifier(),
+		links:      map[linkKey]*stepShardLink{},
 		requests:   map[requestKey]context.CancelCauseFunc{},
 	}
-	owner.cooling.pauses = d.config.Timing.newBackoff()
+	owner.cooldown.backoff = d.config.Timing.newBackoff()
 	owner.slots = newSlotTable(owner.preempt)
 	return owner
 }
 
-// run dispatches for the engine until the shard is lost or released, or the context ends; then it settles what is in
-// flight, and returns.
+// run dispatches for the engine until the shard is lost, the intake stops or the context ends. It then drains the work
+// in flight and returns.
 func (o *engineOwner) run(ctx context.Context) {
-	o.start(o.followStatus)
-	o.start(o.followBundle)
-	o.start(o.followLeaving)
-	o.start(o.loadWeights)
+	o.startLoop(o.pollStatus)
+	o.startLoop(o.watchBundle)
+	o.startLoop(o.handleLeaving)
+	o.startLoop(o.loadWeights)
 	select {
 	case <-ctx.Done():
 	case <-o.shard.Done():
 		o.dispatcher.counters.OwnersSuperseded.Add(1)
 	case <-o.intake.Done():
 	}
-	settling, cancel := context.WithTimeout(o.work, o.config.Timing.Settle)
+	drainCtx, cancel := context.WithTimeout(o.work, o.config.Timing.DrainTimeout)
 	defer cancel()
-	if err := o.settle(settling); err != nil {
-		errorlog.Warn(o.logger, "engine is given up with work in flight", err, "requests", o.requestCount())
+	if err := o.drain(drainCtx); err != nil {
+		errorlog.Warn(o.logger, "engine is released with work in flight", err, "requests", o.requestCount())
 	}
 	o.loops.Wait()
 }
 
-// linger waits for work in flight that outlived the hand-over: requests finish here, and finished samples are handed in.
-func (o *engineOwner) linger() {
-	_ = o.settled.waitUntil(o.work, o.quiet)
+// awaitDrained waits for work in flight that outlived the hand-over: requests finish on this node, and finished samples
+// are submitted.
+func (o *engineOwner) awaitDrained() {
+	_ = o.workEnded.waitUntil(o.work, o.drained)
 }
 
-// start runs a loop that ends with the intake.
-func (o *engineOwner) start(loop func(context.Context)) {
+// startLoop runs a loop in the background under the intake context.
+func (o *engineOwner) startLoop(loop func(context.Context)) {
 	o.loops.Go(func() { loop(o.intake) })
 }
 
-// settle takes no more work, hands training work back, and waits until requests, reports and completions are done.
-func (o *engineOwner) settle(ctx context.Context) error {
+// drain stops the intake, hands training work back, and waits until requests, reports and completions have ended. It
+// returns the context's error if the context ends first.
+func (o *engineOwner) drain(ctx context.Context) error {
 	o.stopIntake()
 	o.slots.close()
 	o.cancelAttempts(errHandBack)
-	return o.settled.waitUntil(ctx, o.quiet)
+	return o.workEnded.waitUntil(ctx, o.drained)
 }
 
-// quiet tells whether nothing is in flight and nothing is owed to a step ledger.
-func (o *engineOwner) quiet() bool {
+// drained reports whether nothing is in flight and no step ledger is waiting for a report or completion.
+func (o *engineOwner) drained() bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if len(o.requests) > 0 {
 		return false
 	}
 	for _, link := range o.links {
-		if !link.quiet() {
+		if !link.drained() {
 			return false
 		}
 	}
@@ -134,8 +137,8 @@
 	return len(o.requests)
 }
 
-// followBundle follows the workloads of the bundle in force.
-func (o *engineOwner) followBundle(ctx context.Context) {
+// watchBundle applies the bundle in force, now and after each change of the bundle or of the machines.
+func (o *engineOwner) watchBundle(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed, machines := o.config.Bundles.Changed(), o.config.Directory.Changed()
 		if accepted := o.config.Bundles.Current(); accepted != nil {
@@ -149,24 +152,24 @@
 	}
 }
 
-// applyBundle shares the slots by the bundle and pulls for its training workloads.
+// applyBundle configures the slot shares from the bundle and pulls samples for its training workloads.
 func (o *engineOwner) applyBundle(ctx context.Context, current *bundle.Bundle) {
 	workloads := poolWorkloads(current, o.machine.Pool)
 	settings := make([]workloadSettings, 0, len(workloads))
 	pulled := map[linkKey]bool{}
 	for _, workload := range workloads {
 		settings = append(settings, settingsOf(workload))
-		o.dispatcher.startAsking(o.work, workload.Model)
+		o.dispatcher.startVersionQuery(o.work, workload.Model)
 		for step := 0; workload.Kind == bundle.Training && step < o.config.StepShards; step++ {
 			pulled[linkKey{workload: workload.Name, shard: step}] = true
 		}
 	}
 	o.slots.configure(settings, policy.ShareOffset(o.rank()))
-	o.startLinks(ctx, pulled)
+	o.updateLinks(ctx, pulled)
 	o.state.notify.notify()
 }
 
-// rank is the engine's place among those of its pool.
+// rank returns the engine's index among the engines of its pool.
 func (o *engineOwner) rank() int {
 	engines := o.config.Directory.Engines(o.machine.Pool)
 	rank, _ := slices.BinarySearchFunc(engines, o.machine.ID, func(machine platform.Machine, id string) int {
@@ -188,8 +191,8 @@
 	return settings
 }
 
-// startLinks starts to pull for workloads that are new, and stops for those that are gone.
-func (o *engineOwner) startLinks(ctx context.Context, wanted map[linkKey]bool) {
+// updateLinks starts to pull for new step shards and stops for those of removed workloads.
+func (o *engineOwner) updateLinks(ctx context.Context, wanted map[linkKey]bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	for key, link := range o.links {
@@ -200,15 +203,15 @@
 	for key := range wanted {
 		link := o.links[key]
 		if link == nil {
-			link = newWorkLink(o, key)
+			link = newStepShardLink(o, key)
 			o.links[key] = link
-			o.dispatcher.tasks.Go(func() { link.report(o.work) })
+			o.dispatcher.tasks.Go(func() { link.reportLoop(o.work) })
 		}
 		link.startPull(ctx)
 	}
 }
 
-// workload finds a workload of this engine's pool in the bundle in force.
+// workload returns a workload of the bundle in force, or nil if this engine's pool does not run it.
 func (o *engineOwner) workload(name string) *bundle.Workload {
 	accepted := o.config.Bundles.Current()
 	if accepted == nil {
@@ -226,8 +229,9 @@
 	return nil
 }
 
-// takesWork tells whether the engine may be given new work of a workload, and the version that it serves.
-func (o *engineOwner) takesWork(workload *bundle.Workload) (version uint64, ok bool) {
+// acceptsWork reports whether the engine may be assigned new work of a workload, and returns the version that it
+// serves.
+func (o *engineOwner) acceptsWork(workload *bundle.Workload) (version uint64, ok bool) {
 	view := o.state.view()
 	if !view.reachable() || view.leaving || o.config.Directory.Leaving(o.machine.ID) || view.quarantined[workload.Model] {
 		return 0, false
@@ -236,7 +240,7 @@
 	return version, served && versionBounds(*workload).Accept(version)
 }
 
-// preempt makes streams of a training workload give way, those with the fewest tokens first.
+// preempt cancels streams of a training workload to free their slots, those with the fewest tokens first.
 func (o *engineOwner) preempt(workload string, count int) {
 	candidates := o.runningAttempts(func(a *attempt) bool { return a.assignment.Workload == workload })
 	slices.SortFunc(candidates, func(a, b *attempt) int { return a.length() - b.length() })
@@ -246,10 +250,10 @@
 			count--
 		}
 	}
-	o.slots.notPreempted(workload, count)
+	o.slots.withdrawPreemption(workload, count)
 }
 
-// info describes the engine.
+// info returns the description of the engine for ListEngines.
 func (o *engineOwner) info() peerapi.EngineInfo {
 	view := o.state.view()
 	if o.config.Directory.Leaving(o.machine.ID) {
@@ -260,7 +264,7 @@
 		ID:       o.machine.ID,
 		Pool:     o.machine.Pool,
 		Zone:     o.machine.Zone,
-		State:    view.name(),
+		State:    view.stateName(),
 		Served:   view.served,
 		InFlight: inFlight,
 		Slots:    slots,
@@ -268,7 +272,7 @@
 	}
 }
 
-// nextFence numbers the next order to the engine.
+// nextFence returns the fence of the next order to the engine.
 func (o *engineOwner) nextFence() platform.Fence {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -276,14 +280,14 @@
 	return platform.Fence{Epoch: o.shard.Epoch(), Sequence: o.sequence}
 }
 
-// stepDown gives the engine up because another dispatcher is newer, and releases the shard so that the next claim opens
-// an epoch above it.
+// stepDown stops dispatching for the engine because a newer dispatcher owns it. The shard is then released, so that the
+// next claim opens an epoch above the newer one.
 func (o *engineOwner) stepDown() {
 	o.logger.Warn("engine refused an order as superseded, stepping down")
 	o.stopIntake()
 }
 
-// pause is a jittered wait that the intake's end cuts short.
-func pause(ctx context.Context, delay time.Duration) {
+// waitJittered waits for a jittered delay; the end of the context cuts it short.
+func waitJittered(ctx context.Context, delay time.Duration) {
 	waitFor(ctx, jittered(delay))
 }
--- a/internal/dispatch/pull.go
+++ b/internal/dispatch/pull.go
@@ -7,10 +7,10 @@
 	"github.com/hillfork/hillfork/internal/peerapi"
 )
 
-// pull takes work whenever the engine has slots for it, until the context ends. While there is no work, or none that
-// suits the engine, it only holds a question open at the step shard.
-func (l *workLink) pull(ctx context.Context) {
-	pauses := l.owner.config.Timing.newBackoff()
+// pullLoop pulls work while the engine has slots for it, until the context ends. While no work is waiting, or none that
+// suits the engine, it only keeps a long poll open at the step shard.
+func (l *stepShardLink) pullLoop(ctx context.Context) {
+	retryBackoff := l.owner.config.Timing.newBackoff()
 	for ctx.Err() == nil {
 		state, directory := l.owner.state.notify.changed(), l.owner.config.Directory.Changed()
 		version, ready := l.ready()
@@ -18,114 +18,117 @@
 			waitFor(ctx, l.owner.config.Timing.LongPoll, state, directory)
 			continue
 		}
-		if delay := l.holdBack(); delay > 0 {
+		if delay := l.pullDelay(); delay > 0 {
 			waitFor(ctx, delay)
 			continue
 		}
 		if err := l.pullOnce(ctx, version); err != nil {
-			waitFor(ctx, pauses.NextBackOff(), state)
+			waitFor(ctx, retryBackoff.NextBackOff(), state)
 			continue
 		}
-		pauses.Reset()
+		retryBackoff.Reset()
 	}
 }
 
-// pullOnce makes the call that the known backlog calls for.
-func (l *workLink) pullOnce(ctx context.Context, version uint64) error {
+// pullOnce makes one call, chosen by the known backlog.
+func (l *stepShardLink) pullOnce(ctx context.Context, version uint64) error {
 	slots := l.owner.slots.notify.changed()
-	backlog, unsuited := l.knownBacklog()
+	backlog, unsuitable := l.knownBacklog()
 	switch {
 	case backlog == 0:
-		return l.ask(ctx, version, l.owner.config.Timing.LongPoll)
-	case unsuited:
-		return l.hold(ctx, version)
+		return l.pollBacklog(ctx, version, l.owner.config.Timing.LongPoll)
+	case unsuitable:
+		return l.awaitSuitableSample(ctx, version)
 	}
-	if l.olderElsewhere() {
+	if l.otherShardHasOlderStep() {
 		return l.waitForSlots(ctx, version, slots)
 	}
-	reserved := l.owner.slots.reserve(l.key.workload, l.wanted(backlog))
+	reserved := l.owner.slots.reserve(l.key.workload, l.pullLimit(backlog))
 	if reserved == 0 {
 		return l.waitForSlots(ctx, version, slots)
 	}
-	return l.take(ctx, version, reserved)
+	return l.pullSamples(ctx, version, reserved)
 }
 
-// ready tells whether the engine may be given samples of the workload, and the version that it serves.
-func (l *workLink) ready() (version uint64, ok bool) {
+// ready reports whether the engine may be assigned samples of the workload, and returns the version that it serves.
+func (l *stepShardLink) ready() (version uint64, ok bool) {
 	workload := l.owner.workload(l.key.workload)
 	if workload == nil {
 		return 0, false
 	}
-	return l.owner.takesWork(workload)
+	return l.owner.acceptsWork(workload)
 }
 
-// holdBack is how long to take no samples: while the engine fails them, or too many finished ones are not handed in.
-func (l *workLink) holdBack() time.Duration {
-	const owedPerSlot = 4
+// pullDelay returns how long to pull no samples: while the engine keeps failing them, or while too many ended attempts
+// have not been reported to the step shard.
+func (l *stepShardLink) pullDelay() time.Duration {
+	const maxUnreportedPerSlot = 4
 	_, slots := l.owner.slots.counts()
-	if l.owedCount() > owedPerSlot*slots {
-		return l.owner.config.Timing.Report
+	if l.unreportedCount() > maxUnreportedPerSlot*slots {
+		return l.owner.config.Timing.ReportInterval
 	}
-	return l.owner.cooling.remaining()
+	return l.owner.cooldown.remaining()
 }
 
-// owedCount is how many attempts have ended of which the step shard does not know yet.
-func (l *workLink) owedCount() int {
+// unreportedCount returns how many attempts have ended without the step shard having acknowledged the end.
+func (l *stepShardLink) unreportedCount() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	owed := 0
+	unreported := 0
 	for _, candidate := range l.attempts {
 		if !candidate.running() {
-			owed++
+			unreported++
 		}
 	}
-	return owed
+	return unreported
 }
 
-func (l *workLink) knownBacklog() (backlog int, unsuited bool) {
+func (l *stepShardLink) knownBacklog() (backlog int, unsuitable bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.backlog, l.unsuited
+	return l.backlog, l.unsuitable
 }
 
-// wanted is how many samples to ask for: this engine's part of the backlog, so that the first engine to ask does not
-// take what would run faster spread over the pool.
-func (l *workLink) wanted(backlog int) int {
+// pullLimit returns how many samples to request: this engine's part of the backlog. Without the limit, the first engine
+// to pull would take samples that complete sooner when they are spread over the pool.
+func (l *stepShardLink) pullLimit(backlog int) int {
 	engines := max(1, len(l.owner.config.Directory.Engines(l.owner.machine.Pool)))
 	return (backlog + engines - 1) / engines
 }
 
-// backlogLife is how long a backlog counts as fresh.
-const backlogLife = 5 * time.Second
+// maxBacklogAge is how long a known backlog counts as fresh.
+const maxBacklogAge = 5 * time.Second
 
-// olderElsewhere tells whether another shard of the workload has samples of an older step for the engine, which the
-// trainer wants first. What has not been heard lately does not count, so that a shard without an owner holds up none.
-func (l *workLink) olderElsewhere() bool {
-	own, _ := l.firstWaiting()
+// otherShardHasOlderStep reports whether another shard of the workload has samples for the engine of an older step,
+// which the trainer needs first. A backlog that has not been updated recently is ignored, so that a shard without an
+// owner does not block the others.
+func (l *stepShardLink) otherShardHasOlderStep() bool {
+	own, _ := l.oldestSuitableStep()
 	for _, other := range l.owner.linksOf(l.key.workload) {
-		oldest, heard := other.firstWaiting()
-		if other != l && oldest > 0 && oldest < own && time.Since(heard) < 2*backlogLife {
+		oldest, updated := other.oldestSuitableStep()
+		if other != l && oldest > 0 && oldest < own && time.Since(updated) < 2*maxBacklogAge {
 			return true
 		}
 	}
 	return false
 }
 
-// firstWaiting is the first step with samples that suit the engine, 0 where none is known, and when that was heard.
-func (l *workLink) firstWaiting() (step uint64, heard time.Time) {
+// oldestSuitableStep returns the oldest step with samples that suit the engine, or 0 if none is known, and the time of
+// the last backlog update.
+func (l *stepShardLink) oldestSuitableStep() (step uint64, updated time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.backlog == 0 || l.unsuited {
-		return 0, l.asked
+	if l.backlog == 0 || l.unsuitable {
+		return 0, l.backlogUpdated
 	}
-	return l.oldest, l.asked
+	return l.oldestStep, l.backlogUpdated
 }
 
 // linksOf returns the links to a workload's shards.
-func (o *engineOwner) linksOf(workload string) []*workLink {
+func (o *engineOwner) linksOf(workload string) []*stepShardLink {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	var found []*workLink
+	var found []*stepShardLink
 	for key, link := range o.links {
 		if key.workload == workload {
 			found = append(found, link)
@@ -134,32 +137,32 @@
 	return found
 }
 
-// waitForSlots waits for a slot to become free, and refreshes an old backlog: it counts as demand when shares are
-// reckoned, so it must not be long out of date.
-func (l *workLink) waitForSlots(ctx context.Context, version uint64, slots <-chan struct{}) error {
+// waitForSlots waits for a slot to become free, and refreshes an old backlog. The backlog counts as demand in the slot
+// allocation, so it must not become stale.
+func (l *stepShardLink) waitForSlots(ctx context.Context, version uint64, slots <-chan struct{}) error {
 	l.mutex.Lock()
-	age := time.Since(l.asked)
+	age := time.Since(l.backlogUpdated)
 	l.mutex.Unlock()
-	if age < backlogLife {
-		waitFor(ctx, backlogLife-age, slots, l.owner.state.notify.changed())
+	if age < maxBacklogAge {
+		waitFor(ctx, maxBacklogAge-age, slots, l.owner.state.notify.changed())
 		return nil
 	}
-	return l.ask(ctx, version, 0)
+	return l.pollBacklog(ctx, version, 0)
 }
 
-// ask asks how much work waits, and holds the question open so long while there is none.
-func (l *workLink) ask(ctx context.Context, version uint64, wait time.Duration) error {
+// pollBacklog requests the size of the backlog; the step shard holds the call open for up to wait while it is empty.
+func (l *stepShardLink) pollBacklog(ctx context.Context, version uint64, wait time.Duration) error {
 	l.owner.dispatcher.counters.HintPolls.Add(1)
-	result, err := l.call(ctx, version, 0, wait)
+	result, err := l.sendPull(ctx, version, 0, wait)
 	if err != nil {
 		return err
 	}
-	l.noteBacklog(result, false)
+	l.recordBacklog(result, false)
 	return nil
 }
 
-// take pulls samples for reserved slots and starts them. Slots that got none are given back.
-func (l *workLink) take(ctx context.Context, version uint64, reserved int) error {
+// pullSamples pulls samples for reserved slots and starts them. It releases the slots that got no sample.
+func (l *stepShardLink) pullSamples(ctx context.Context, version uint64, reserved int) error {
 	l.owner.dispatcher.counters.Pulls.Add(1)
 	l.setPulling(true)
 	defer l.setPulling(false)
@@ -167,8 +170,9 @@
 		l.owner.slots.release(l.key.workload, reserved, false)
 		return ctx.Err()
 	}
-	// The answer is waited for even when the intake ends meanwhile, so that what it brings is handed back at once.
-	result, err := l.call(l.owner.work, version, reserved, 0)
+	// The call is not cancelled when the intake ends in the meantime, so that the samples in its response are handed
+	// back at once.
+	result, err := l.sendPull(l.owner.work, version, reserved, 0)
 	if err != nil {
 		l.owner.slots.release(l.key.workload, reserved, false)
 		return err
@@ -180,27 +184,27 @@
 			started++
 		}
 	}
-	l.noteBacklog(result, len(assignments) == 0)
+	l.recordBacklog(result, len(assignments) == 0)
 	l.owner.slots.release(l.key.workload, max(0, reserved-started), false)
 	return nil
 }
 
-// hold waits at the step shard for a sample that suits the engine, without any slot reserved for it. The question ends
-// early when the engine takes another version, because another one then suits it.
-func (l *workLink) hold(ctx context.Context, version uint64) error {
+// awaitSuitableSample waits at the step shard for a sample that suits the engine, without a reserved slot. The call
+// ends early when the engine's served version changes, because a different sample may then suit it.
+func (l *stepShardLink) awaitSuitableSample(ctx context.Context, version uint64) error {
 	l.owner.dispatcher.counters.Pulls.Add(1)
 	l.setPulling(true)
 	defer l.setPulling(false)
-	holding, cancel := context.WithCancel(ctx)
+	pollCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l.owner.loops.Go(func() {
-		l.awaitOtherVersion(holding, version)
+		l.awaitVersionChange(pollCtx, version)
 		cancel()
 	})
-	result, err := l.call(holding, version, 1, l.owner.config.Timing.LongPoll)
+	result, err := l.sendPull(pollCtx, version, 1, l.owner.config.Timing.LongPoll)
 	if err != nil {
-		if holding.Err() != nil && ctx.Err() == nil {
-			l.noteBacklog(&peerapi.PullWorkResult{Backlog: 1}, false)
+		if pollCtx.Err() != nil && ctx.Err() == nil {
+			l.recordBacklog(&peerapi.PullWorkResult{Backlog: 1}, false)
 			return nil
 		}
 		return err
@@ -208,12 +212,13 @@
 	for _, assignment := range result.Assignments {
 		l.startAttempt(assignment, false)
 	}
-	l.noteBacklog(result, len(result.Assignments) == 0)
+	l.recordBacklog(result, len(result.Assignments) == 0)
 	return nil
 }
 
-// awaitOtherVersion returns when the engine may not be given samples at this version any more, or the context ends.
-func (l *workLink) awaitOtherVersion(ctx context.Context, version uint64) {
+// awaitVersionChange returns when the engine may no longer be assigned samples at this version, or when the context
+// ends.
+func (l *stepShardLink) awaitVersionChange(ctx context.Context, version uint64) {
 	for ctx.Err() == nil {
 		state := l.owner.state.notify.changed()
 		if now, ready := l.ready(); !ready || now != version {
@@ -226,14 +231,14 @@
 	}
 }
 
-// call sends one PullWork and learns of versions from the answer.
-func (l *workLink) call(ctx context.Context, version uint64, slots int, wait time.Duration) (*peerapi.PullWorkResult, error) {
+// sendPull sends one PullWork and records the model version in the response.
+func (l *stepShardLink) sendPull(ctx context.Context, version uint64, slots int, wait time.Duration) (*peerapi.PullWorkResult, error) {
 	config := l.owner.config
 	workload := l.owner.workload(l.key.workload)
 	if workload == nil {
 		return nil, errWorkloadGone
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+config.Timing.Call)
+	ctx, cancel := context.WithTimeout(ctx, wait+config.Timing.CallTimeout)
 	defer cancel()
 	request := &peerapi.PullWork{
 		Workload:      l.key.workload,
@@ -246,26 +251,28 @@
 		KnownLatest:   l.owner.dispatcher.versions.latest(workload.Model).version,
 	}
 	response := &peerapi.PullWorkResult{}
-	// A pull that takes samples is not repeated blindly: a second one under way would bring more than there are slots
-	// for. An answer that is lost costs the time until the step shard misses the reports on its attempts.
+	// A pull that takes samples is not marked idempotent, so it is not retried: a second one in flight would return
+	// more samples than there are slots. A lost response delays its samples until the step shard misses the reports on
+	// their attempts.
 	idempotent := slots == 0
 	if err := l.callLedger(ctx, peerapi.MethodPullWork, request, response, idempotent); err != nil {
 		return nil, err
 	}
-	l.owner.dispatcher.versions.learn(workload.Model, response.Latest)
+	l.owner.dispatcher.versions.observe(workload.Model, response.Latest)
 	return response, nil
 }
 
-// noteBacklog takes over how many samples wait. Those that do not suit the engine are no demand for its slots.
-func (l *workLink) noteBacklog(result *peerapi.PullWorkResult, unsuited bool) {
+// recordBacklog stores the number of waiting samples. Samples that do not suit the engine do not count as demand for
+// its slots.
+func (l *stepShardLink) recordBacklog(result *peerapi.PullWorkResult, unsuitable bool) {
 	l.mutex.Lock()
 	l.backlog = result.Backlog
-	l.oldest = result.Oldest
-	l.unsuited = unsuited
-	l.asked = time.Now()
+	l.oldestStep = result.Oldest
+	l.unsuitable = unsuitable
+	l.backlogUpdated = time.Now()
 	l.mutex.Unlock()
 	demand := result.Backlog
-	if unsuited {
+	if unsuitable {
 		demand = 0
 	}
 	l.owner.slots.setBacklog(l.key.workload, l.key.shard, l.owner.config.StepShards, demand)
--- a/internal/dispatch/recent_mean.go
+++ b/internal/dispatch/recent_mean.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// meanWindow is the time constant of recentMean.
-const meanWindow = 10 * time.Second
+// meanTimeConstant is the time constant of recentMean.
+const meanTimeConstant = 10 * time.Second
 
 // recentMean is the exponentially weighted mean of a count over time.
 type recentMean struct {
-	mean  float64
-	until time.Time
+	mean    float64
+	updated time.Time
 }
 
-// add says that the count has been held since the last call.
+// add adds the interval since the last call, over which the count was held.
 func (r *recentMean) add(now time.Time, held int) {
-	if !r.until.IsZero() {
-		kept := math.Exp(-float64(now.Sub(r.until)) / float64(meanWindow))
-		r.mean = kept*r.mean + (1-kept)*float64(held)
+	if !r.updated.IsZero() {
+		decay := math.Exp(-float64(now.Sub(r.updated)) / float64(meanTimeConstant))
+		r.mean = decay*r.mean + (1-decay)*float64(held)
 	}
-	r.until = now
+	r.updated = now
 }
--- a/internal/dispatch/recent_peak.go
+++ b/internal/dispatch/recent_peak.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// peakWindow is how long a burst of requests is remembered, at least; twice as long at most.
+// peakWindow is the minimum time for which a peak is kept; the maximum is twice as long.
 const peakWindow = 5 * time.Second
 
-// recentPeak remembers the highest value of the last seconds.
+// recentPeak tracks the maximum of a value over the last one to two windows.
 type recentPeak struct {
-	since    time.Time
-	current  int
-	previous int
+	windowStart time.Time
+	current     int
+	previous    int
 }
 
-// observe takes a value in and returns the highest of late.
+// observe records a value and returns the recent maximum.
 func (r *recentPeak) observe(now time.Time, value int) int {
-	if elapsed := now.Sub(r.since); elapsed >= peakWindow {
+	if elapsed := now.Sub(r.windowStart); elapsed >= peakWindow {
 		r.previous = r.current
 		if elapsed >= 2*peakWindow {
 			r.previous = 0
 		}
 		r.current = 0
-		r.since = now
+		r.windowStart = now
 	}
 	r.current = max(r.current, value)
 	return max(r.current, r.previous)
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -10,53 +10,54 @@
 	"github.com/hillfork/hillfork/internal/peerapi"
 )
 
-// message is a body of the peer protocol.
+// message is a message of the peer protocol.
 type message = peer.Message
 
-// report renews the attempts at the step shard once per report time, and hands failed ones back at once, until the
-// context ends or the shard is owed nothing any more by an engine that was given up.
-func (l *workLink) report(ctx context.Context) {
+// reportLoop reports all attempts to the step shard once per report interval, and failed ones at once. It ends with the
+// context, or when the intake has ended and the link is drained.
+func (l *stepShardLink) reportLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		urgent := l.urgent.changed()
+		reportNow := l.reportNow.changed()
 		if !l.hasAttempts() {
-			if l.owner.intake.Err() != nil && l.quiet() {
+			if l.owner.intake.Err() != nil && l.drained() {
 				return
 			}
-			l.waitForAttempts(ctx, urgent)
+			l.waitForAttempts(ctx, reportNow)
 			continue
 		}
 		began := time.Now()
 		l.reportOnce(ctx)
-		l.waitForReport(ctx, began, urgent)
+		l.waitForReport(ctx, began, reportNow)
 	}
 }
 
 // waitForAttempts waits for an attempt to report on, or for the end of the intake.
-func (l *workLink) waitForAttempts(ctx context.Context, urgent <-chan struct{}) {
+func (l *stepShardLink) waitForAttempts(ctx context.Context, reportNow <-chan struct{}) {
 	ending := l.owner.intake.Done()
 	if l.owner.intake.Err() != nil {
 		ending = nil
 	}
 	select {
 	case <-ctx.Done():
-	case <-urgent:
+	case <-reportNow:
 	case <-ending:
 	}
 }
 
-// waitForReport waits for the next report: at once for a failure that is news, but never in a tight loop.
-func (l *workLink) waitForReport(ctx context.Context, began time.Time, urgent <-chan struct{}) {
-	shortest := l.owner.config.Timing.Report / 20
-	waitFor(ctx, shortest)
-	rest := l.owner.config.Timing.Report - time.Since(began)
+// waitForReport waits for the next report. A notification, for example of a failure, triggers it early, but not before
+// a minimum interval, which prevents a tight loop.
+func (l *stepShardLink) waitForReport(ctx context.Context, began time.Time, reportNow <-chan struct{}) {
+	minInterval := l.owner.config.Timing.ReportInterval / 20
+	waitFor(ctx, minInterval)
+	rest := l.owner.config.Timing.ReportInterval - time.Since(began)
 	if rest > 0 {
-		waitFor(ctx, rest, urgent)
+		waitFor(ctx, rest, reportNow)
 	}
 }
 
 // reportOnce sends one report on all attempts at the step shard.
-func (l *workLink) reportOnce(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, l.owner.config.Timing.Call)
+func (l *stepShardLink) reportOnce(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, l.owner.config.Timing.CallTimeout)
 	defer cancel()
 	request := &peerapi.ReportWork{
 		Workload: l.key.workload,
@@ -70,26 +71,26 @@
 	l.owner.dispatcher.counters.Reports.Add(1)
 	response := &peerapi.ReportWorkResult{}
 	if err := l.callLedger(ctx, peerapi.MethodReportWork, request, response, true); err != nil {
-		errorlog.Debug(l.owner.logger, "report was not taken", err, "workload", l.key.workload, "shard", l.key.shard)
-		if l.refusedForGood(err) {
-			l.abandon(request.Attempts)
+		errorlog.Debug(l.owner.logger, "step ledger did not accept the report", err, "workload", l.key.workload, "shard", l.key.shard)
+		if l.permanentlyRefused(err) {
+			l.abandonAttempts(request.Attempts)
 		}
 		return
 	}
-	l.acknowledge(request.Attempts)
-	l.obey(response)
+	l.removeReported(request.Attempts)
+	l.applyResponse(response)
 }
 
-// abandon drops attempts that no step shard will take back, as their workload is gone.
-func (l *workLink) abandon(reported []peerapi.Progress) {
-	l.acknowledge(reported)
+// abandonAttempts discards attempts whose reports the step shard permanently refuses.
+func (l *stepShardLink) abandonAttempts(reported []peerapi.Progress) {
+	l.removeReported(reported)
 	for _, progress := range reported {
-		l.drop(peerapi.AttemptRef{Step: progress.Step, Index: progress.Index, Attempt: progress.Attempt})
+		l.discardAttempt(peerapi.AttemptRef{Step: progress.Step, Index: progress.Index, Attempt: progress.Attempt})
 	}
 }
 
-// progress describes all attempts, in order.
-func (l *workLink) progress() []peerapi.Progress {
+// progress returns the state of all attempts, ordered by step and index.
+func (l *stepShardLink) progress() []peerapi.Progress {
 	l.mutex.Lock()
 	attempts := make([]*attempt, 0, len(l.attempts))
 	for _, running := range l.attempts {
@@ -109,40 +110,40 @@
 	return progress
 }
 
-// acknowledge forgets the failures that a report has handed in.
-func (l *workLink) acknowledge(reported []peerapi.Progress) {
+// removeReported removes the failed attempts that a report has handed back.
+func (l *stepShardLink) removeReported(reported []peerapi.Progress) {
 	for _, progress := range reported {
 		if progress.Failed {
-			l.forget(peerapi.AttemptRef{Step: progress.Step, Index: progress.Index, Attempt: progress.Attempt})
+			l.removeAttempt(peerapi.AttemptRef{Step: progress.Step, Index: progress.Index, Attempt: progress.Attempt})
 		}
 	}
 }
 
-// obey takes over what the step shard answered: attempts that are of no use are cut off.
-func (l *workLink) obey(response *peerapi.ReportWorkResult) {
+// applyResponse records the latest version and discards the attempts that the step shard no longer needs.
+func (l *stepShardLink) applyResponse(response *peerapi.ReportWorkResult) {
 	if workload := l.owner.workload(l.key.workload); workload != nil {
-		l.owner.dispatcher.versions.learn(workload.Model, response.Latest)
+		l.owner.dispatcher.versions.observe(workload.Model, response.Latest)
 	}
 	for _, reference := range response.Cancel {
-		l.drop(reference)
+		l.discardAttempt(reference)
 	}
 }
 
-// drop cuts an attempt off that is of no use.
-func (l *workLink) drop(reference peerapi.AttemptRef) {
+// discardAttempt cancels an attempt that is not needed.
+func (l *stepShardLink) discardAttempt(reference peerapi.AttemptRef) {
 	l.mutex.Lock()
-	useless := l.attempts[reference]
+	unneeded := l.attempts[reference]
 	l.mutex.Unlock()
-	if useless != nil {
+	if unneeded != nil {
 		l.owner.dispatcher.counters.AttemptsUseless.Add(1)
-		useless.drop()
+		unneeded.discard()
 	}
 }
 
-// forget drops an attempt that the step shard is owed nothing for any more.
-func (l *workLink) forget(reference peerapi.AttemptRef) {
+// removeAttempt removes an attempt that needs no more reports to the step shard.
+func (l *stepShardLink) removeAttempt(reference peerapi.AttemptRef) {
 	l.mutex.Lock()
 	delete(l.attempts, reference)
 	l.mutex.Unlock()
-	l.owner.settled.notify()
+	l.owner.workEnded.notify()
 }
--- a/internal/dispatch/size_test.go
+++ b/internal/dispatch/size_test.go
@@ -17,13 +17,13 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// Sizes that the system is designed for.
+// Sizes for which the system is designed.
 const (
 	designNodes   = 410
 	designEngines = 900
 )
 
-// countingLedger counts the bytes of the messages that cross it.
+// countingLedger counts the requests and responses of a LedgerCaller and their bytes.
 type countingLedger struct {
 	LedgerCaller
 	bytes    atomic.Int64
@@ -43,33 +43,34 @@
 	c.messages.Add(1)
 }
 
-// TestControlTrafficPerEngine bounds what two engines, a node's part at the design size, cost beside the tokens.
+// TestControlTrafficPerEngine limits the control traffic, which excludes tokens, of two engines: one node's part at the
+// design size.
 func TestControlTrafficPerEngine(t *testing.T) {
 	for name, busy := range map[string]bool{"idle": false, "busy": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				configs := poolOf(2, nil)
+				configs := engineConfigs(2, nil)
 				for i := range configs {
 					configs[i].Weights = nil
 					configs[i].Slots = 16
 				}
-				w := newWorld(t, bundleOf(training("a", 0.3), training("b", 0.3), training("c", 0.2), interactive("s", 0.2)))
-				counted := &countingLedger{LedgerCaller: w.fakeLedger}
-				w.config.Ledger = counted
-				w.addEngines(configs...)
+				h := newHarness(t, bundleOf(training("a", 0.3), training("b", 0.3), training("c", 0.2), interactive("s", 0.2)))
+				counted := &countingLedger{LedgerCaller: h.fakeLedger}
+				h.config.Ledger = counted
+				h.addEngines(configs...)
 				if busy {
-					w.add("a", 16, 100000, 0)
-					w.add("b", 16, 100000, 0)
+					h.add("a", 16, 100000, 0)
+					h.add("b", 16, 100000, 0)
 				}
 				time.Sleep(time.Minute)
-				bytes, messages, status := counted.bytes.Load(), counted.messages.Load(), w.Counters().StatusReads.Load()
+				bytes, messages, status := counted.bytes.Load(), counted.messages.Load(), h.Counters().StatusReads.Load()
 				const minutes = 10
 				time.Sleep(minutes * time.Minute)
 				perSecond := func(count int64) float64 { return float64(count) / (minutes * 60) }
 				bytesPerSecond := perSecond(counted.bytes.Load() - bytes)
 				messagesPerSecond := perSecond(counted.messages.Load() - messages)
-				statusPerSecond := perSecond(int64(w.Counters().StatusReads.Load() - status))
+				statusPerSecond := perSecond(int64(h.Counters().StatusReads.Load() - status))
 				t.Logf("%s: %.0f bytes/s, %.2f messages/s with step ledgers, %.2f status reads/s",
 					name, bytesPerSecond, messagesPerSecond, statusPerSecond)
 				limit := 100.0
@@ -89,7 +90,7 @@
 func (m memberSource) Members() []membership.Member { return m }
 func (m memberSource) Changed() <-chan struct{}     { return nil }
 
-// BenchmarkReconcile reckons the placement of all engines once, as each node does after a change of the members.
+// BenchmarkReconcile computes the placement of all engines once, as each node does after a membership change.
 func BenchmarkReconcile(b *testing.B) {
 	var members memberSource
 	for i := range designNodes {
@@ -113,7 +114,7 @@
 	}
 }
 
-// BenchmarkPickEngine chooses among all engines of the design size.
+// BenchmarkPickEngine picks one of the design size's engines.
 func BenchmarkPickEngine(b *testing.B) {
 	snapshot := policy.Snapshot{Zone: "zone-0", Region: "region-0"}
 	for i := range designEngines {
@@ -128,7 +129,7 @@
 	}
 }
 
-// BenchmarkSlotTable admits and finishes one request at an engine of six workloads.
+// BenchmarkSlotTable admits and finishes one request at an engine with six workloads.
 func BenchmarkSlotTable(b *testing.B) {
 	table := newSlotTable(func(string, int) {})
 	settings := []workloadSettings{{name: "s", share: 0.2, interactive: true}}
@@ -142,6 +143,6 @@
 		if _, err := table.enqueue("s", time.Second); err != nil {
 			b.Fatal(err)
 		}
-		table.finish("s", time.Second)
+		table.finishRequest("s", time.Second)
 	}
 }
--- a/internal/dispatch/slots.go
+++ b/internal/dispatch/slots.go
@@ -10,7 +10,7 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// workloadSettings is what the bundle in force says of a workload at one engine.
+// workloadSettings holds the settings of a workload in the bundle in force that apply to one engine.
 type workloadSettings struct {
 	name        string
 	interactive bool
@@ -19,36 +19,36 @@
 	maxQueue    int
 }
 
-// workloadLoad is a workload's part of a slot table.
+// workloadLoad is the state of one workload in a slot table.
 type workloadLoad struct {
 	settings workloadSettings
-	// held counts slots that run a stream or are reserved for work being pulled.
+	// held counts slots that run a stream or are reserved for a pull.
 	held int
-	// preempting counts held slots whose streams were told to give way.
+	// preempting counts held slots whose streams are being preempted.
 	preempting int
-	// awaiting counts assignments in hand that have no slot yet.
-	awaiting int
-	// backlog counts the samples that wait at each step shard.
+	// awaitingSlot counts pulled assignments that have no slot yet.
+	awaitingSlot int
+	// backlog is the number of waiting samples, by step shard.
 	backlog []int
-	queue   []*ticket
-	recent  recentPeak
-	// typical is the usual time a request holds its slot.
-	typical time.Duration
-	used    recentMean
+	queue   []*queueEntry
+	peak    recentPeak
+	// typicalHold is the moving average of how long a request holds its slot.
+	typicalHold time.Duration
+	meanHeld    recentMean
 }
 
-// headroom is how many more requests are to be expected, going by the last seconds.
+// headroom returns how many more requests to expect, based on the recent peak.
 func (w *workloadLoad) headroom() int {
 	if !w.settings.interactive {
 		return 0
 	}
 	present := w.held + len(w.queue)
-	return max(0, w.recent.observe(time.Now(), present)-present)
+	return max(0, w.peak.observe(time.Now(), present)-present)
 }
 
 func (w *workloadLoad) waiting() int {
 	if !w.settings.interactive {
-		total := w.awaiting
+		total := w.awaitingSlot
 		for _, count := range w.backlog {
 			total += count
 		}
@@ -61,17 +61,18 @@
 	return waiting
 }
 
-// ticket is an interactive request's place in the queue. granted is closed when it gets a slot, refused when the engine
-// takes no more work; exactly one of them is closed.
-type ticket struct {
+// queueEntry is an interactive request in the queue. granted is closed when the request gets a slot, refused when the
+// engine accepts no more work; exactly one of them is closed, unless the request is abandoned before.
+type queueEntry struct {
 	workload string
 	granted  chan struct{}
 	refused  chan struct{}
 }
 
-// slotTable is the truth on the slots of one engine: who holds them, who waits, and who gets the next one.
+// slotTable allocates the slots of one engine among its workloads. It is authoritative for the held slots and the
+// queues of requests.
 type slotTable struct {
-	// preempt is called, without the lock, to make streams of a training workload give way.
+	// preempt is called without the lock to free slots by preempting streams of a training workload.
 	preempt func(workload string, count int)
 	notify  *notifier
 
@@ -87,25 +88,25 @@
 	return &slotTable{preempt: preempt, notify: newNotifier(), workloads: map[string]*workloadLoad{}}
 }
 
-// victims counts streams that have to give way, by workload.
-type victims map[string]int
+// preemptions is the number of streams to preempt, by workload.
+type preemptions map[string]int
 
-// update changes the table under its lock, shares the slots out anew, and tells everybody.
+// update changes the table under its lock, reallocates the slots, and notifies the waiters.
 func (s *slotTable) update(change func()) {
 	s.mutex.Lock()
 	for _, load := range s.workloads {
-		load.used.add(time.Now(), load.held)
+		load.meanHeld.add(time.Now(), load.held)
 	}
 	change()
-	chosen := s.shareOut()
+	toPreempt := s.grantLocked()
 	s.mutex.Unlock()
-	for workload, count := range chosen {
+	for workload, count := range toPreempt {
 		s.preempt(workload, count)
 	}
 	s.notify.notify()
 }
 
-// configure takes the settings of the bundle in force over. Workloads that are gone keep what they hold.
+// configure applies the settings of the bundle in force. Removed workloads keep the slots that they hold.
 func (s *slotTable) configure(settings []workloadSettings, offset float64) {
 	s.update(func() {
 		s.offset = offset
@@ -118,13 +119,13 @@
 		}
 		for name, load := range s.workloads {
 			if !wanted[name] {
-				s.dropLocked(name, load)
+				s.removeWorkloadLocked(name, load)
 			}
 		}
 	})
 }
 
-func (s *slotTable) dropLocked(name string, load *workloadLoad) {
+func (s *slotTable) removeWorkloadLocked(name string, load *workloadLoad) {
 	refuseAll(load)
 	load.backlog = nil
 	load.settings.share = 0
@@ -144,7 +145,7 @@
 	return load
 }
 
-// setSlots takes over how many streams the engine runs at once.
+// setSlots sets how many streams the engine runs at once.
 func (s *slotTable) setSlots(slots int) {
 	s.mutex.Lock()
 	same := s.slots == slots
@@ -154,13 +155,13 @@
 	}
 }
 
-// close refuses everybody who waits and all who come later.
+// close refuses all waiting and later requests.
 func (s *slotTable) close() {
 	s.update(func() { s.closed = true })
 	s.refuseWaiting()
 }
 
-// refuseWaiting refuses everybody who waits.
+// refuseWaiting refuses all requests in the queues.
 func (s *slotTable) refuseWaiting() {
 	s.update(func() {
 		for _, load := range s.workloads {
@@ -176,12 +177,12 @@
 	load.queue = nil
 }
 
-// shareOut grants slots to requests that wait and returns the streams that have to give way. The caller holds the lock.
-func (s *slotTable) shareOut() victims {
+// grantLocked grants slots to waiting requests and returns the streams to preempt. The caller holds the lock.
+func (s *slotTable) grantLocked() preemptions {
 	if s.closed {
 		return nil
 	}
-	var chosen victims
+	var toPreempt preemptions
 	for _, allocation := range s.allocateLocked() {
 		load := s.workloads[allocation.Workload]
 		for load.settings.interactive && load.held < allocation.Target && len(load.queue) > 0 && s.freeLocked() > 0 {
@@ -191,13 +192,13 @@
 		}
 		if more := allocation.Preempt - load.preempting; more > 0 {
 			load.preempting += more
-			if chosen == nil {
-				chosen = victims{}
+			if toPreempt == nil {
+				toPreempt = preemptions{}
 			}
-			chosen[allocation.Workload] = more
+			toPreempt[allocation.Workload] = more
 		}
 	}
-	return chosen
+	return toPreempt
 }
 
 func (s *slotTable) allocateLocked() []policy.Allocation {
@@ -211,7 +212,7 @@
 			Running:     load.held,
 			Waiting:     load.waiting(),
 			Headroom:    load.headroom(),
-			Used:        load.used.mean,
+			Used:        load.meanHeld.mean,
 		})
 	}
 	return policy.Allocate(s.slots, s.offset, demands)
@@ -225,9 +226,9 @@
 	return free
 }
 
-// enqueue admits an interactive request to the queue. A refusal proves that nothing ran.
-func (s *slotTable) enqueue(workload string, remaining time.Duration) (*ticket, error) {
-	var admitted *ticket
+// enqueue admits an interactive request to the queue. An error proves that the request did not run.
+func (s *slotTable) enqueue(workload string, remaining time.Duration) (*queueEntry, error) {
+	var entry *queueEntry
 	var refusal error
 	s.update(func() {
 		load := s.workloads[workload]
@@ -241,49 +242,49 @@
 			MaxInFlight:     load.settings.maxInFlight,
 			MaxQueue:        load.settings.maxQueue,
 			Slots:           s.slots,
-			TypicalDuration: load.typical,
+			TypicalDuration: load.typicalHold,
 			Remaining:       remaining,
 		})
 		if verdict == policy.VerdictRefuse {
 			refusal = &peer.Error{Code: peer.CodeOverloaded, Message: "engine queue is full", RetryAfter: retryAfter}
 			return
 		}
-		admitted = &ticket{workload: workload, granted: make(chan struct{}), refused: make(chan struct{})}
-		load.queue = append(load.queue, admitted)
+		entry = &queueEntry{workload: workload, granted: make(chan struct{}), refused: make(chan struct{})}
+		load.queue = append(load.queue, entry)
 	})
-	return admitted, refusal
+	return entry, refusal
 }
 
-// abandon takes a request out of the queue, or gives its slot back if it has just got one.
-func (s *slotTable) abandon(abandoned *ticket) {
+// abandon removes a request from the queue, or releases its slot if it has just been granted one.
+func (s *slotTable) abandon(entry *queueEntry) {
 	s.update(func() {
-		load := s.workloads[abandoned.workload]
+		load := s.workloads[entry.workload]
 		if load == nil {
 			return
 		}
 		for i, waiting := range load.queue {
-			if waiting == abandoned {
+			if waiting == entry {
 				load.queue = append(load.queue[:i:i], load.queue[i+1:]...)
 				return
 			}
 		}
-		if broadcast.Closed(abandoned.granted) {
+		if broadcast.Closed(entry.granted) {
 			s.releaseLocked(load, 1)
 		}
 	})
 }
 
-// finish gives an interactive request's slot back and learns how long it was held.
-func (s *slotTable) finish(workload string, held time.Duration) {
-	const weight = 8 // of the past against the newest
+// finishRequest releases an interactive request's slot and updates the average hold time.
+func (s *slotTable) finishRequest(workload string, held time.Duration) {
+	const pastWeight = 8 // weight of the past average against the newest value
 	s.update(func() {
 		load := s.workloadLocked(workload)
-		load.typical += (held - load.typical) / weight
+		load.typicalHold += (held - load.typicalHold) / pastWeight
 		s.releaseLocked(load, 1)
 	})
 }
 
-// reserve takes up to limit slots for training work about to be pulled, and returns how many.
+// reserve reserves up to limit slots for a pull of training work and returns how many it reserved.
 func (s *slotTable) reserve(workload string, limit int) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -302,25 +303,26 @@
 	return 0
 }
 
-// awaitAgain is how often a slot is asked for while nothing changes: slots kept for requests that were expected become free
-// by time alone.
-const awaitAgain = time.Second
+// awaitRetryInterval is the interval at which awaitSlot retries while nothing changes. A retry is needed because the
+// headroom kept for expected requests expires without a notification.
+const awaitRetryInterval = time.Second
 
-// await takes a slot for an assignment in hand, as soon as the workload gets one; false when the context ends before.
-func (s *slotTable) await(ctx context.Context, workload string) bool {
-	s.update(func() { s.workloadLocked(workload).awaiting++ })
-	defer s.update(func() { s.workloadLocked(workload).awaiting-- })
+// awaitSlot reserves a slot for a pulled assignment as soon as the workload gets one. It returns false if the context
+// ends first.
+func (s *slotTable) awaitSlot(ctx context.Context, workload string) bool {
+	s.update(func() { s.workloadLocked(workload).awaitingSlot++ })
+	defer s.update(func() { s.workloadLocked(workload).awaitingSlot-- })
 	for ctx.Err() == nil {
 		changed := s.notify.changed()
 		if s.reserve(workload, 1) == 1 {
 			return true
 		}
-		waitFor(ctx, awaitAgain, changed)
+		waitFor(ctx, awaitRetryInterval, changed)
 	}
 	return false
 }
 
-// release gives training slots back. preempted tells that the streams were told to give way.
+// release releases training slots. preempted says that their streams were preempted.
 func (s *slotTable) release(workload string, count int, preempted bool) {
 	if count == 0 {
 		return
@@ -341,15 +343,15 @@
 	}
 }
 
-// notPreempted takes back the demand for streams that could not be found.
-func (s *slotTable) notPreempted(workload string, count int) {
+// withdrawPreemption lowers the preempting count by streams that could not be preempted.
+func (s *slotTable) withdrawPreemption(workload string, count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	load := s.workloadLocked(workload)
 	load.preempting = max(0, load.preempting-count)
 }
 
-// setBacklog notes how many samples wait at a step shard.
+// setBacklog sets the number of samples waiting at a step shard.
 func (s *slotTable) setBacklog(workload string, shard, shards, count int) {
 	s.mutex.Lock()
 	load := s.workloads[workload]
@@ -367,7 +369,7 @@
 	})
 }
 
-// counts tells the streams in flight or waiting, and the slots.
+// counts returns the number of streams in flight or waiting, and the number of slots.
 func (s *slotTable) counts() (inFlight, slots int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -377,13 +379,13 @@
 	return inFlight, s.slots
 }
 
-// idle tells whether nothing is in flight.
+// idle reports whether no stream is in flight or waiting.
 func (s *slotTable) idle() bool {
 	inFlight, _ := s.counts()
 	return inFlight == 0
 }
 
-// load is streams in flight or waiting over slots.
+// load returns the ratio of streams in flight or waiting to slots.
 func (s *slotTable) load() float64 {
 	inFlight, slots := s.counts()
 	return float64(inFlight) / float64(max(1, slots))
--- a/internal/dispatch/slots_test.go
+++ b/internal/dispatch/slots_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestAwaitOutlastsABurstOfRequests: the slots kept free after a burst are lent again when it is forgotten, though nothing
-// else happens at the engine.
-func TestAwaitOutlastsABurstOfRequests(t *testing.T) {
+// TestAwaitSlotReturnsAfterBurstHeadroomExpires guards against an assignment that waits forever for a slot kept as
+// headroom after a burst of requests: the headroom expires without any other event at the engine.
+func TestAwaitSlotReturnsAfterBurstHeadroomExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := newSlotTable(func(string, int) {})
@@ -20,31 +20,31 @@
 		table.setSlots(1)
 		_, err := table.enqueue("search", 0)
 		is.NoErr(err)
-		table.finish("search", time.Millisecond)
+		table.finishRequest("search", time.Millisecond)
 		began := time.Now()
-		is.True(table.await(t.Context(), "train"))
+		is.True(table.awaitSlot(t.Context(), "train"))
 		waited := time.Since(began)
-		is.True(waited >= peakWindow && waited <= 2*peakWindow+awaitAgain)
+		is.True(waited >= peakWindow && waited <= 2*peakWindow+awaitRetryInterval)
 	})
 }
 
-// TestSlotTableNeverGivesMoreThanThereAre does things at random and checks the books after each.
-func TestSlotTableNeverGivesMoreThanThereAre(t *testing.T) {
+// TestSlotTableNeverOvercommits applies random operations and checks the slot counts after each.
+func TestSlotTableNeverOvercommits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slots = 5
 		running := map[string]int{}
-		condemned := map[string]int{}
+		marked := map[string]int{}
 		table := newSlotTable(nil)
 		table.preempt = func(workload string, count int) {
-			found := min(count, running[workload]-condemned[workload])
-			condemned[workload] += found
-			table.notPreempted(workload, count-found)
+			found := min(count, running[workload]-marked[workload])
+			marked[workload] += found
+			table.withdrawPreemption(workload, count-found)
 		}
 		table.configure([]workloadSettings{
 			{name: "a", share: 0.4}, {name: "b", share: 0.3}, {name: "s", share: 0.3, interactive: true},
 		}, 0.3)
 		table.setSlots(slots)
-		var tickets []*ticket
+		var entries []*queueEntry
 		trainers := rapid.SampledFrom([]string{"a", "b"})
 		t.Repeat(map[string]func(*rapid.T){
 			"backlog": func(t *rapid.T) { table.setBacklog(trainers.Draw(t, "w"), 0, 1, rapid.IntRange(0, 9).Draw(t, "n")) },
@@ -57,34 +57,34 @@
 				if running[workload] == 0 {
 					t.Skip()
 				}
-				preempted := condemned[workload] > 0
+				preempted := marked[workload] > 0
 				running[workload]--
 				if preempted {
-					condemned[workload]--
+					marked[workload]--
 				}
 				table.release(workload, 1, preempted)
 			},
 			"request": func(t *rapid.T) {
-				if admitted, err := table.enqueue("s", 0); err == nil {
-					tickets = append(tickets, admitted)
+				if entry, err := table.enqueue("s", 0); err == nil {
+					entries = append(entries, entry)
 				}
 			},
 			"leave": func(t *rapid.T) {
-				if len(tickets) == 0 {
+				if len(entries) == 0 {
 					t.Skip()
 				}
-				i := rapid.IntRange(0, len(tickets)-1).Draw(t, "i")
-				if broadcast.Closed(tickets[i].granted) {
-					table.finish("s", time.Second)
+				i := rapid.IntRange(0, len(entries)-1).Draw(t, "i")
+				if broadcast.Closed(entries[i].granted) {
+					table.finishRequest("s", time.Second)
 				} else {
-					table.abandon(tickets[i])
+					table.abandon(entries[i])
 				}
-				tickets = append(tickets[:i:i], tickets[i+1:]...)
+				entries = append(entries[:i:i], entries[i+1:]...)
 			},
 			"": func(t *rapid.T) {
 				granted := 0
-				for _, admitted := range tickets {
-					if broadcast.Closed(admitted.granted) {
+				for _, entry := range entries {
+					if broadcast.Closed(entry.granted) {
 						granted++
 					}
 				}
@@ -93,23 +93,23 @@
 					t.Fatalf("%d slots are held", held)
 				}
 				inFlight, _ := table.counts()
-				if inFlight != held+len(tickets)-granted {
-					t.Fatalf("the table counts %d, held are %d", inFlight, held)
+				if inFlight != held+len(entries)-granted {
+					t.Fatalf("the table counts %d streams in flight, %d slots are held", inFlight, held)
 				}
 				for _, workload := range []string{"a", "b"} {
-					if table.workloads[workload].preempting != condemned[workload] {
-						t.Fatalf("preempting %d, condemned %d", table.workloads[workload].preempting, condemned[workload])
+					if table.workloads[workload].preempting != marked[workload] {
+						t.Fatalf("preempting %d, want %d", table.workloads[workload].preempting, marked[workload])
 					}
 				}
-				if granted < len(tickets) && granted < 2 && condemned["a"]+condemned["b"] == 0 && held == slots {
-					t.Fatalf("requests wait behind borrowed slots and nobody gives way")
+				if granted < len(entries) && granted < 2 && marked["a"]+marked["b"] == 0 && held == slots {
+					t.Fatalf("requests wait for lent slots and no stream is being preempted")
 				}
 			},
 		})
 	})
 }
 
-func TestBurstsKeepHeadroomForAWhile(t *testing.T) {
+func TestBurstHeadroomExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := newSlotTable(func(string, int) {})
@@ -119,15 +119,16 @@
 		first, err := table.enqueue("s", 0)
 		is.NoErr(err)
 		is.True(broadcast.Closed(first.granted))
-		table.finish("s", time.Second)
+		table.finishRequest("s", time.Second)
 		is.Equal(table.reserve("a", 100), 3) // one slot stays free for the next request
 		time.Sleep(2*peakWindow + time.Second)
 		is.Equal(table.reserve("a", 100), 1)
 	})
 }
 
-// TestOneSlotGoesRound lets two interactive workloads ask without end for the only slot of an engine.
-func TestOneSlotGoesRound(t *testing.T) {
+// TestSingleSlotServesAllWorkloads has two interactive workloads queue requests continuously for an engine's only slot
+// and checks that neither is starved.
+func TestSingleSlotServesAllWorkloads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := newSlotTable(func(string, int) {})
@@ -136,13 +137,13 @@
 		}, 0)
 		table.setSlots(1)
 		served := map[string]int{}
-		queues := map[string][]*ticket{}
+		queues := map[string][]*queueEntry{}
 		for range 300 {
 			for _, name := range []string{"many", "few"} {
 				for len(queues[name]) < 3 {
-					admitted, err := table.enqueue(name, 0)
+					entry, err := table.enqueue(name, 0)
 					is.NoErr(err)
-					queues[name] = append(queues[name], admitted)
+					queues[name] = append(queues[name], entry)
 				}
 			}
 			for name, queue := range queues {
@@ -150,12 +151,12 @@
 					time.Sleep(time.Second)
 					served[name]++
 					queues[name] = queue[1:]
-					table.finish(name, time.Second)
+					table.finishRequest(name, time.Second)
 					break
 				}
 			}
 		}
-		is.True(served["few"] >= 60) // its part by share is 100
+		is.True(served["few"] >= 60) // its share of the grants is 100
 		is.True(served["many"] >= 120)
 	})
 }
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -8,15 +8,15 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// followStatus reads the engine's status until the context ends.
-func (o *engineOwner) followStatus(ctx context.Context) {
+// pollStatus reads the engine's status at intervals until the context ends.
+func (o *engineOwner) pollStatus(ctx context.Context) {
 	for ctx.Err() == nil {
 		_, _ = o.readStatus(ctx)
-		pause(ctx, o.config.Timing.Status)
+		waitJittered(ctx, o.config.Timing.StatusInterval)
 	}
 }
 
-// readStatus reads the status once and acts on what it says.
+// readStatus reads the status once and applies it.
 func (o *engineOwner) readStatus(ctx context.Context) (platform.EngineStatus, error) {
 	call, cancel := context.WithTimeout(ctx, o.config.Timing.StatusTimeout)
 	defer cancel()
@@ -27,7 +27,7 @@
 	}
 	if err != nil {
 		if o.state.observeFailure() {
-			o.engineDown(err)
+			o.handleEngineDown(err)
 		}
 		return status, err
 	}
@@ -35,7 +35,7 @@
 		status.Leaving = false
 	}
 	if o.state.observeStatus(status) {
-		o.engineRestarted(status)
+		o.handleEngineRestart(status)
 	}
 	if status.Leaving {
 		o.config.Directory.MarkLeaving(o.machine.ID)
@@ -44,16 +44,16 @@
 	return status, nil
 }
 
-// engineDown cuts what runs at an engine that answers no more.
-func (o *engineOwner) engineDown(err error) {
+// handleEngineDown refuses waiting requests and cancels running work at an engine that no longer responds.
+func (o *engineOwner) handleEngineDown(err error) {
 	errorlog.Warn(o.logger, "engine does not answer", err)
 	o.slots.refuseWaiting()
 	o.cancelAttempts(errEngineDown)
 	o.cancelRequests(errEngineDown)
 }
 
-// engineRestarted cuts what ran at the engine's former process.
-func (o *engineOwner) engineRestarted(status platform.EngineStatus) {
+// handleEngineRestart cancels the work that ran in the engine's previous process.
+func (o *engineOwner) handleEngineRestart(status platform.EngineStatus) {
 	o.logger.Warn("engine came back as a new process", "incarnation", status.Incarnation)
 	o.dispatcher.counters.EngineRestarts.Add(1)
 	o.cancelAttempts(errEngineDown)
@@ -63,8 +63,8 @@
 	}
 }
 
-// followLeaving hands training work back once the engine has been leaving for the grace time.
-func (o *engineOwner) followLeaving(ctx context.Context) {
+// handleLeaving hands training work back once the engine has been leaving for the grace period.
+func (o *engineOwner) handleLeaving(ctx context.Context) {
 	for ctx.Err() == nil {
 		directory, state := o.config.Directory.Changed(), o.state.notify.changed()
 		if !o.config.Directory.Leaving(o.machine.ID) {
--- a/internal/dispatch/training_test.go
+++ b/internal/dispatch/training_test.go
@@ -16,18 +16,18 @@
 	"github.com/hillfork/hillfork/internal/standin/engine"
 )
 
-// checkWhole checks that each of count samples was completed once, with the tokens that belong to its prompt and spans
-// that cover them.
-func checkWhole(t *testing.T, w *world, count, length int) []*peerapi.CompleteSample {
+// checkCompleted checks that each of count samples was completed once, with the tokens determined by its prompt and
+// spans that cover them.
+func checkCompleted(t *testing.T, h *harness, count, length int) []*peerapi.CompleteSample {
 	t.Helper()
 	is := is.New(t)
-	completed, _ := w.snapshot()
+	completed, _ := h.snapshot()
 	is.Equal(len(completed), count)
 	seen := map[int]bool{}
 	for _, sample := range completed {
 		is.True(!seen[sample.Index])
 		seen[sample.Index] = true
-		is.True(slices.Equal(sample.Tokens, engine.ExpectedTokens(promptOf(length, sample.Index), 0, 100000)))
+		is.True(slices.Equal(sample.Tokens, engine.ExpectedTokens(promptForLength(length, sample.Index), 0, 100000)))
 		at := 0
 		for _, span := range sample.Spans {
 			is.Equal(span.From, at)
@@ -40,165 +40,165 @@
 
 func TestSamplesAreGeneratedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, bundleOf(training("a", 1)), engineConfig("e1"), engineConfig("e2"))
-		w.add("a", 20, 50, 0)
+		h := newHarness(t, bundleOf(training("a", 1)), engineConfig("e1"), engineConfig("e2"))
+		h.add("a", 20, 50, 0)
 		time.Sleep(30 * time.Second)
-		for _, sample := range checkWhole(t, w, 20, 50) {
+		for _, sample := range checkCompleted(t, h, 20, 50) {
 			is.New(t).Equal(sample.Spans, []peerapi.Span{{From: 0, To: 50, Version: 5}})
 		}
-		is.New(t).True(w.Counters().AttemptsStarted.Load() == 20)
+		is.New(t).True(h.Counters().AttemptsStarted.Load() == 20)
 	})
 }
 
-func TestSamplesSurviveTrouble(t *testing.T) {
-	troubles := map[string]func(*world){
-		"disordered chunks": func(w *world) {
-			w.engines["e1"].SetDisorder(engine.Disorder{Duplicate: 0.3, Reorder: 0.3, Stray: 0.3})
+func TestSamplesSurviveFaults(t *testing.T) {
+	faults := map[string]func(*harness){
+		"disordered chunks": func(h *harness) {
+			h.engines["e1"].SetDisorder(engine.Disorder{Duplicate: 0.3, Reorder: 0.3, Stray: 0.3})
 		},
-		"engine crash and return": func(w *world) {
+		"engine crash and return": func(h *harness) {
 			time.Sleep(2 * time.Second)
-			w.engines["e1"].Crash()
+			h.engines["e1"].Crash()
 			time.Sleep(3 * time.Second)
-			w.engines["e1"].Restart()
+			h.engines["e1"].Restart()
 		},
-		"engine hang": func(w *world) {
+		"engine hang": func(h *harness) {
 			time.Sleep(2 * time.Second)
-			w.engines["e1"].Hang()
+			h.engines["e1"].Hang()
 			time.Sleep(30 * time.Second)
-			w.engines["e1"].Resume()
+			h.engines["e1"].Resume()
 		},
-		"ledger down": func(w *world) {
+		"ledger down": func(h *harness) {
 			time.Sleep(time.Second)
-			w.set(func() { w.failure = peer.ErrLost })
+			h.set(func() { h.failure = peer.ErrLost })
 			time.Sleep(time.Minute)
-			w.owner("e1").cancelAll(errHandBack) // a hand-over that comes now does not touch finished samples
-			w.set(func() { w.failure = nil })
+			h.owner("e1").cancelAllAttempts(errHandBack) // a hand-over at this point does not affect finished samples
+			h.set(func() { h.failure = nil })
 		},
-		"engine refuses for a while": func(w *world) {
-			w.probes["e1"].failGenerate(platform.ErrRejected)
+		"engine refuses for a while": func(h *harness) {
+			h.recorders["e1"].failGenerate(platform.ErrRejected)
 			time.Sleep(time.Minute)
-			generations, _ := w.probes["e1"].counts("")
-			is.New(w.t).True(generations < 150) // refusals make the engine be left alone, up to 5 s
-			w.probes["e1"].failGenerate(nil)
+			generations, _ := h.recorders["e1"].counts("")
+			is.New(h.t).True(generations < 150) // refusals cause a backoff of up to 5 s
+			h.recorders["e1"].failGenerate(nil)
 		},
-		"slow engine": func(w *world) { w.engines["e1"].Slow(20) },
-		"shard lost and claimed again": func(w *world) {
+		"slow engine": func(h *harness) { h.engines["e1"].Slow(20) },
+		"shard lost and claimed again": func(h *harness) {
 			time.Sleep(2 * time.Second)
-			close(w.opener.current().done)
+			close(h.opener.current().done)
 		},
 	}
-	for name, trouble := range troubles {
+	for name, injectFault := range faults {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, bundleOf(training("a", 1)), engineConfig("e1"))
-				w.add("a", 10, 100, 0)
-				trouble(w)
+				h := newHarness(t, bundleOf(training("a", 1)), engineConfig("e1"))
+				h.add("a", 10, 100, 0)
+				injectFault(h)
 				time.Sleep(5 * time.Minute)
-				checkWhole(t, w, 10, 100)
+				checkCompleted(t, h, 10, 100)
 			})
 		})
 	}
 }
 
-func TestBrokenStreamHandsThePartBack(t *testing.T) {
+func TestBrokenStreamHandsBackPartialTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, bundleOf(training("a", 1)), engineConfig("e1"))
-		w.add("a", 1, 500, 0)
+		h := newHarness(t, bundleOf(training("a", 1)), engineConfig("e1"))
+		h.add("a", 1, 500, 0)
 		time.Sleep(3300 * time.Millisecond)
-		w.engines["e1"].Restart()
+		h.engines["e1"].Restart()
 		time.Sleep(200 * time.Millisecond)
-		_, failures := w.snapshot()
-		is.Equal(len(failures), 1) // told at once, not with the next report
+		_, failures := h.snapshot()
+		is.Equal(len(failures), 1) // reported at once, not with the next periodic report
 		is.True(len(failures[0].Partial) > 50)
 		is.Equal(failures[0].Spans, []peerapi.Span{{From: 0, To: len(failures[0].Partial), Version: 5}})
 		time.Sleep(time.Minute)
-		checkWhole(t, w, 1, 500)
+		checkCompleted(t, h, 1, 500)
 	})
 }
 
-func TestUselessAttemptIsCancelled(t *testing.T) {
+func TestUnneededAttemptIsCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, bundleOf(training("a", 1)), engineConfig("e1"))
-		w.add("a", 2, 10000, 0)
+		h := newHarness(t, bundleOf(training("a", 1)), engineConfig("e1"))
+		h.add("a", 2, 10000, 0)
 		time.Sleep(time.Second)
-		w.set(func() { w.cancel = []peerapi.AttemptRef{{Index: 0, Attempt: 1}} })
+		h.set(func() { h.cancel = []peerapi.AttemptRef{{Index: 0, Attempt: 1}} })
 		time.Sleep(3 * time.Second)
-		status, err := w.engines["e1"].Status(t.Context())
+		status, err := h.engines["e1"].Status(t.Context())
 		is.NoErr(err)
 		is.Equal(status.Running, 1)
-		_, failures := w.snapshot()
+		_, failures := h.snapshot()
 		is.Equal(len(failures), 0)
-		is.Equal(w.Engines()[0].InFlight, 1)
+		is.Equal(h.Engines()[0].InFlight, 1)
 	})
 }
 
-func TestSharesAreReclaimedByResumableCuts(t *testing.T) {
+func TestSharesAreReclaimedByPreemption(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, bundleOf(training("a", 0.5), training("b", 0.5)), engineConfig("e1"))
-		w.add("a", 8, 2000, 0)
+		h := newHarness(t, bundleOf(training("a", 0.5), training("b", 0.5)), engineConfig("e1"))
+		h.add("a", 8, 2000, 0)
 		time.Sleep(5 * time.Second)
-		status, _ := w.engines["e1"].Status(t.Context())
+		status, _ := h.engines["e1"].Status(t.Context())
 		is.Equal(status.Running, 4) // idle capacity is lent
-		w.add("b", 8, 2000, 0)
+		h.add("b", 8, 2000, 0)
 		time.Sleep(3 * time.Second)
-		is.Equal(w.Counters().Preemptions.Load(), uint64(2))
-		_, failures := w.snapshot()
+		is.Equal(h.Counters().Preemptions.Load(), uint64(2))
+		_, failures := h.snapshot()
 		is.Equal(len(failures), 2)
 		is.True(len(failures[0].Partial) > 0)
 	})
 }
 
-func TestIdleEngineCostsLittle(t *testing.T) {
+func TestIdleEngineUsesLongPolls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, bundleOf(training("a", 1)), engineConfig("e1"))
-		before := w.callsOf(peerapi.MethodPullWork)
+		h := newHarness(t, bundleOf(training("a", 1)), engineConfig("e1"))
+		before := h.callsOf(peerapi.MethodPullWork)
 		time.Sleep(10 * time.Minute)
 		synctest.Wait()
-		polls := w.callsOf(peerapi.MethodPullWork) - before
-		is.True(polls <= 2*20+2) // two step shards, one question each 30 s
-		is.Equal(w.callsOf(peerapi.MethodReportWork), 0)
+		polls := h.callsOf(peerapi.MethodPullWork) - before
+		is.True(polls <= 2*20+2) // two step shards, one long poll each per 30 s
+		is.Equal(h.callsOf(peerapi.MethodReportWork), 0)
 	})
 }
 
-func TestSampleThatSuitsNoneYetWaitsWithoutPolling(t *testing.T) {
+func TestUnsuitableSampleWaitsWithoutPolling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, bundleOf(training("a", 1)), engineConfig("e1"))
-		w.add("a", 3, 50, 6) // needs version 6, the engine serves 5
+		h := newHarness(t, bundleOf(training("a", 1)), engineConfig("e1"))
+		h.add("a", 3, 50, 6) // needs version 6, the engine serves 5
 		time.Sleep(5 * time.Minute)
-		is.True(w.callsOf(peerapi.MethodPullWork) < 40)
-		w.set(func() { w.latest = 6 })
+		is.True(h.callsOf(peerapi.MethodPullWork) < 40)
+		h.set(func() { h.latest = 6 })
 		time.Sleep(20 * time.Second)
-		for _, sample := range checkWhole(t, w, 3, 50) {
+		for _, sample := range checkCompleted(t, h, 3, 50) {
 			is.Equal(sample.Spans[0].Version, uint64(6))
 		}
 	})
 }
 
-func TestTokensOfAnUnacceptedVersionAreCutOff(t *testing.T) {
+func TestTokensOfUnacceptedVersionAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		workload := training("a", 1)
 		workload.MinVersion, workload.MaxVersion = 5, 6
-		w := newWorld(t, bundleOf(workload), engineConfig("e1"))
-		w.add("a", 4, 500, 0)
+		h := newHarness(t, bundleOf(workload), engineConfig("e1"))
+		h.add("a", 4, 500, 0)
 		time.Sleep(2 * time.Second)
-		w.engines["e1"].FailNextLoad(engine.LoadFailure{Mode: engine.LoadUnasked, Version: 9})
-		w.set(func() { w.latest = 6 })
+		h.engines["e1"].FailNextLoad(engine.LoadFailure{Mode: engine.LoadUnasked, Version: 9})
+		h.set(func() { h.latest = 6 })
 		time.Sleep(5 * time.Minute)
-		is.True(w.Counters().ChunksWrongVersion.Load() > 0)
-		is.Equal(w.Counters().Quarantines.Load(), uint64(1))
-		for _, sample := range checkWhole(t, w, 4, 500) {
+		is.True(h.Counters().ChunksWrongVersion.Load() > 0)
+		is.Equal(h.Counters().Quarantines.Load(), uint64(1))
+		for _, sample := range checkCompleted(t, h, 4, 500) {
 			for _, span := range sample.Spans {
 				is.True(span.Version == 5 || span.Version == 6)
 			}
 		}
-		is.Equal(w.Engines()[0].State, StateServing)
-		is.Equal(w.Engines()[0].Served["m"], uint64(6))
+		is.Equal(h.Engines()[0].State, StateServing)
+		is.Equal(h.Engines()[0].Served["m"], uint64(6))
 	})
 }
 
@@ -209,14 +209,14 @@
 				is := is.New(t)
 				workload := training("a", 1)
 				workload.Swap = mode
-				w := newWorld(t, bundleOf(workload), engineConfig("e1"))
-				w.add("a", 1, 500, 0)
+				h := newHarness(t, bundleOf(workload), engineConfig("e1"))
+				h.add("a", 1, 500, 0)
 				time.Sleep(2 * time.Second)
-				w.set(func() { w.latest = 6 })
+				h.set(func() { h.latest = 6 })
 				time.Sleep(2 * time.Minute)
-				_, failures := w.snapshot()
+				_, failures := h.snapshot()
 				is.Equal(len(failures) > 0, mode != bundle.SwapContinue)
-				is.Equal(len(checkWhole(t, w, 1, 500)[0].Spans), versions)
+				is.Equal(len(checkCompleted(t, h, 1, 500)[0].Spans), versions)
 			})
 		})
 	}
@@ -225,106 +225,115 @@
 func TestSupersededOwnerStepsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, bundleOf(training("a", 1)), engineConfig("e1"))
-		first := w.opener.current()
+		h := newHarness(t, bundleOf(training("a", 1)), engineConfig("e1"))
+		first := h.opener.current()
 		other := platform.LoadOrder{Fence: platform.Fence{Epoch: 2, Sequence: 1}, Model: "m", Version: 5}
-		is.NoErr(w.engines["e1"].Load(t.Context(), other))
-		w.set(func() { w.latest = 6; w.opener.epoch = 2 })
+		is.NoErr(h.engines["e1"].Load(t.Context(), other))
+		h.set(func() { h.latest = 6; h.opener.epoch = 2 })
 		time.Sleep(30 * time.Second)
 		is.True(broadcast.Closed(first.done))
-		is.Equal(w.Engines()[0].Epoch, uint64(3)) // it claimed anew and orders above the other
-		is.Equal(w.Engines()[0].Served["m"], uint64(6))
+		is.Equal(h.Engines()[0].Epoch, uint64(3)) // it claimed the shard again, with an epoch above the other owner's
+		is.Equal(h.Engines()[0].Served["m"], uint64(6))
 	})
 }
 
-func TestStatusThatTokensContradictIsNotTrusted(t *testing.T) {
+// TestContradictedStatusQuarantinesEngine covers an engine whose assumed version is newer than the one that its tokens
+// come from. Without the quarantine, it would be assigned samples that need the newer version again and again.
+func TestContradictedStatusQuarantinesEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, bundleOf(training("a", 1)), engineConfig("e1"))
-		w.set(func() { w.careless = true })
-		owner := w.owner("e1")
+		h := newHarness(t, bundleOf(training("a", 1)), engineConfig("e1"))
+		h.set(func() { h.ignoreVersions = true })
+		owner := h.owner("e1")
 		owner.state.update(func() { owner.state.served["m"] = 6 })
-		w.add("a", 1, 100, 6)
-		w.versions.learn("m", 6)
+		h.add("a", 1, 100, 6)
+		h.versions.observe("m", 6)
 		time.Sleep(time.Minute)
-		is.Equal(w.Counters().Quarantines.Load(), uint64(1))
-		for _, sample := range checkWhole(t, w, 1, 100) {
+		is.Equal(h.Counters().Quarantines.Load(), uint64(1))
+		for _, sample := range checkCompleted(t, h, 1, 100) {
 			is.Equal(sample.Spans, []peerapi.Span{{From: 0, To: 100, Version: 6}})
 		}
 	})
 }
 
-func TestWorkloadThatIsGoneOwesNothing(t *testing.T) {
+// TestAttemptsOfRemovedWorkloadAreDiscarded checks that attempts are kept while only the step ledger does not know
+// their workload, and discarded once this node's bundle no longer has it. Otherwise, a drain would wait for them
+// forever.
+func TestAttemptsOfRemovedWorkloadAreDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, bundleOf(training("a", 1)), engineConfig("e1"))
-		w.add("a", 4, 100000, 0)
+		h := newHarness(t, bundleOf(training("a", 1)), engineConfig("e1"))
+		h.add("a", 4, 100000, 0)
 		time.Sleep(5 * time.Second)
-		w.set(func() { w.failure = &peer.Error{Code: peer.CodeNotFound} })
+		h.set(func() { h.failure = &peer.Error{Code: peer.CodeNotFound} })
 		time.Sleep(5 * time.Second)
-		is.Equal(w.Engines()[0].InFlight, 4) // the ledger may only be behind with the bundle
-		w.bundles.roll(bundleOf(training("b", 1)))
+		is.Equal(h.Engines()[0].InFlight, 4) // the ledger's bundle may only be older than this node's
+		h.bundles.roll(bundleOf(training("b", 1)))
 		time.Sleep(5 * time.Second)
-		is.Equal(w.Engines()[0].InFlight, 0)
-		is.NoErr(w.Drain(t.Context()))
+		is.Equal(h.Engines()[0].InFlight, 0)
+		is.NoErr(h.Drain(t.Context()))
 	})
 }
 
 func TestSmallStepsAreSpreadOverThePool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, bundleOf(training("a", 1)), engineConfig("e1"), engineConfig("e2"))
-		w.set(func() { w.pullDelay = 10 * time.Millisecond })
-		w.add("a", 4, 100, 0)
+		h := newHarness(t, bundleOf(training("a", 1)), engineConfig("e1"), engineConfig("e2"))
+		h.set(func() { h.pullDelay = 10 * time.Millisecond })
+		h.add("a", 4, 100, 0)
 		time.Sleep(30 * time.Second)
 		engines := map[string]int{}
-		for _, sample := range checkWhole(t, w, 4, 100) {
+		for _, sample := range checkCompleted(t, h, 4, 100) {
 			engines[sample.Engine]++
 		}
 		is.New(t).Equal(engines, map[string]int{"e1": 2, "e2": 2})
 	})
 }
 
-func TestFinishedSamplesThatNobodyTakesAreKeptAndBounded(t *testing.T) {
+// TestUnacceptedCompletionsAreKeptAndBounded checks that finished samples are kept while the step ledger does not
+// accept them, and that their number limits further pulls.
+func TestUnacceptedCompletionsAreKeptAndBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, bundleOf(training("a", 1)), engineConfig("e1"))
-		w.set(func() { w.completeFailure = &peer.Error{Code: peer.CodeUncertain} })
-		w.add("a", 100, 20, 0)
+		h := newHarness(t, bundleOf(training("a", 1)), engineConfig("e1"))
+		h.set(func() { h.completeFailure = &peer.Error{Code: peer.CodeUncertain} })
+		h.add("a", 100, 20, 0)
 		time.Sleep(10 * time.Minute)
-		started := w.Counters().AttemptsStarted.Load()
-		is.True(started >= 16 && started <= 24) // four slots: work stops when sixteen answers wait
-		w.set(func() { w.completeFailure = nil })
+		started := h.Counters().AttemptsStarted.Load()
+		is.True(started >= 16 && started <= 24) // four slots: pulls stop when sixteen answers are unreported
+		h.set(func() { h.completeFailure = nil })
 		time.Sleep(5 * time.Minute)
-		checkWhole(t, w, 100, 20)
-		is.Equal(w.Counters().AttemptsStarted.Load(), uint64(100))
+		checkCompleted(t, h, 100, 20)
+		is.Equal(h.Counters().AttemptsStarted.Load(), uint64(100))
 	})
 }
 
 func TestSampleOfAnotherWorkloadIsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, bundleOf(training("a", 0.5), training("b", 0.5)), engineConfig("e1"))
-		w.set(func() {
-			w.waiting[StepShardKey("a", 0)] = []peerapi.Assignment{{Workload: "b", Model: "m", Prompt: promptOf(5, 1), MaxTokens: 9}}
+		h := newHarness(t, bundleOf(training("a", 0.5), training("b", 0.5)), engineConfig("e1"))
+		h.set(func() {
+			h.waiting[StepShardKey("a", 0)] = []peerapi.Assignment{{Workload: "b", Model: "m", Prompt: promptForLength(5, 1), MaxTokens: 9}}
 		})
 		time.Sleep(10 * time.Second)
-		is.Equal(w.Counters().AttemptsStarted.Load(), uint64(0))
-		is.True(w.owner("e1").slots.idle())
+		is.Equal(h.Counters().AttemptsStarted.Load(), uint64(0))
+		is.True(h.owner("e1").slots.idle())
 	})
 }
 
-func TestRestartedSampleDropsThePartOfOtherWeights(t *testing.T) {
+// TestRestartSwapDiscardsResumeOfOtherVersion covers a workload whose samples must not continue under other weights: an
+// assignment with tokens of another version starts from the beginning.
+func TestRestartSwapDiscardsResumeOfOtherVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workload := training("a", 1)
 		workload.Swap = bundle.SwapRestart
-		w := newWorld(t, bundleOf(workload), engineConfig("e1"))
-		w.set(func() {
-			w.waiting[StepShardKey("a", 0)] = []peerapi.Assignment{{
-				Workload: "a", Attempt: 1, Model: "m", Prompt: promptOf(50, 0), MaxTokens: 100000,
+		h := newHarness(t, bundleOf(workload), engineConfig("e1"))
+		h.set(func() {
+			h.waiting[StepShardKey("a", 0)] = []peerapi.Assignment{{
+				Workload: "a", Attempt: 1, Model: "m", Prompt: promptForLength(50, 0), MaxTokens: 100000,
 				Resume: []uint32{1, 2}, ResumeSpans: []peerapi.Span{{From: 0, To: 2, Version: 4}},
 			}}
 		})
 		time.Sleep(10 * time.Second)
-		is.New(t).Equal(checkWhole(t, w, 1, 50)[0].Spans, []peerapi.Span{{From: 0, To: 50, Version: 5}})
+		is.New(t).Equal(checkCompleted(t, h, 1, 50)[0].Spans, []peerapi.Span{{From: 0, To: 50, Version: 5}})
 	})
 }
--- a/internal/dispatch/versions.go
+++ b/internal/dispatch/versions.go
@@ -9,39 +9,39 @@
 	"github.com/hillfork/hillfork/internal/policy"
 )
 
-// WeightFactKey is the key of the fact whose version is the newest weight version published for a workload.
+// WeightFactKey returns the key of the fact that holds the newest weight version published for a workload.
 func WeightFactKey(workload string) string {
 	return "weights/" + workload
 }
 
-// knownVersion is the newest version of a model and when this node learned of it.
+// knownVersion is the newest known version of a model and the time at which this node learned of it.
 type knownVersion struct {
 	version uint64
 	since   time.Time
 }
 
-// versionTracker holds the newest published version of each model, from whatever source told of it first.
+// versionTracker holds the newest published version of each model. It combines all sources.
 type versionTracker struct {
 	notify *notifier
 
-	mutex  sync.Mutex
-	newest map[string]knownVersion
-	asked  map[string]bool
+	mutex   sync.Mutex
+	newest  map[string]knownVersion
+	queried map[string]bool
 }
 
 func newVersionTracker() *versionTracker {
-	return &versionTracker{notify: newNotifier(), newest: map[string]knownVersion{}, asked: map[string]bool{}}
+	return &versionTracker{notify: newNotifier(), newest: map[string]knownVersion{}, queried: map[string]bool{}}
 }
 
-// learn notes that a version of a model was published.
-func (v *versionTracker) learn(model string, version uint64) {
+// observe records that a version of a model was published.
+func (v *versionTracker) observe(model string, version uint64) {
 	v.mutex.Lock()
-	isNews := version > v.newest[model].version
-	if isNews {
+	newer := version > v.newest[model].version
+	if newer {
 		v.newest[model] = knownVersion{version: version, since: time.Now()}
 	}
 	v.mutex.Unlock()
-	if isNews {
+	if newer {
 		v.notify.notify()
 	}
 }
@@ -52,19 +52,19 @@
 	return v.newest[model]
 }
 
-// askOnce tells whether the weight store has still to be asked for a model, and notes that it is.
-func (v *versionTracker) askOnce(model string) bool {
+// markQueried marks a model as queried at the weight store and reports whether it was not before.
+func (v *versionTracker) markQueried(model string) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	if v.asked[model] {
+	if v.queried[model] {
 		return false
 	}
-	v.asked[model] = true
+	v.queried[model] = true
 	return true
 }
 
-// learnFromFacts takes over what the facts say of the workloads of a bundle.
-func (d *Dispatcher) learnFromFacts() {
+// observeFacts records the versions in the facts for the workloads of the bundle in force.
+func (d *Dispatcher) observeFacts() {
 	accepted := d.config.Bundles.Current()
 	if accepted == nil || d.config.Facts == nil {
 		return
@@ -72,19 +72,19 @@
 	for _, workload := range accepted.Bundle.Workloads {
 		version, _, known := d.config.Facts.Fact(WeightFactKey(workload.Name))
 		if known {
-			d.versions.learn(workload.Model, version)
+			d.versions.observe(workload.Model, version)
 		}
 	}
 }
 
-// followFacts learns versions from facts until the context ends.
-func (d *Dispatcher) followFacts(ctx context.Context) {
+// watchFacts records versions from facts until the context ends.
+func (d *Dispatcher) watchFacts(ctx context.Context) {
 	if d.config.Facts == nil {
 		return
 	}
 	for ctx.Err() == nil {
 		facts, bundles := d.config.Facts.FactsChanged(), d.config.Bundles.Changed()
-		d.learnFromFacts()
+		d.observeFacts()
 		select {
 		case <-ctx.Done():
 		case <-facts:
@@ -93,30 +93,32 @@
 	}
 }
 
-// askWeightStore asks once for the newest version of a model that this node has to load, until the store answers.
-func (d *Dispatcher) askWeightStore(ctx context.Context, model string) {
-	if d.config.Weights == nil || !d.versions.askOnce(model) {
+// queryWeightStore queries the weight store for a model's newest version, at most once per model, and retries until the
+// store answers.
+func (d *Dispatcher) queryWeightStore(ctx context.Context, model string) {
+	if d.config.Weights == nil || !d.versions.markQueried(model) {
 		return
 	}
-	pauses := d.config.Timing.newBackoff()
+	retryBackoff := d.config.Timing.newBackoff()
 	for ctx.Err() == nil {
 		version, err := d.config.Weights.Latest(ctx, model)
 		if err == nil {
-			d.versions.learn(model, version)
+			d.versions.observe(model, version)
 			return
 		}
-		waitFor(ctx, pauses.NextBackOff())
+		waitFor(ctx, retryBackoff.NextBackOff())
 	}
 }
 
-// modelPlan is what an engine should serve of one model.
+// modelPlan is the version of one model that an engine should serve.
 type modelPlan struct {
 	model   string
 	desired uint64
 	since   time.Time
 }
 
-// planModels tells what the engines of a pool should serve under a bundle, in the order of its workloads. It is pure.
+// planModels returns the versions that the engines of a pool should serve under a bundle, in the order of its
+// workloads. It has no side effects.
 func planModels(current *bundle.Bundle, pool string, latest func(model string) knownVersion) []modelPlan {
 	var models []string
 	bounds := map[string][]policy.VersionBounds{}
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -19,26 +19,26 @@
 	"github.com/hillfork/hillfork/internal/standin/engine"
 )
 
-// world is one dispatcher among stand-in engines and a fake of everything else.
-type world struct {
+// harness runs one dispatcher with stand-in engines and fakes of its other dependencies.
+type harness struct {
 	*Dispatcher
 	*fakeLedger
-	t        *testing.T
-	placer   *fakePlacer
-	opener   *fakeOpener
-	machines *machines.Directory
-	list     *fakeList
-	bundles  *fakeBundles
-	engines  map[string]*engine.Engine
-	probes   map[string]*probe
-	stop     context.CancelFunc
+	t         *testing.T
+	placer    *fakePlacer
+	opener    *fakeOpener
+	machines  *machines.Directory
+	list      *fakeList
+	bundles   *fakeBundles
+	engines   map[string]*engine.Engine
+	recorders map[string]*recordingEngine
+	stop      context.CancelFunc
 }
 
 // Engine implements platform.EngineDialer.
-func (w *world) Engine(address string) platform.Engine { return w.probes[address] }
+func (h *harness) Engine(address string) platform.Engine { return h.recorders[address] }
 
-// probe counts the calls of an engine, and fails them on demand.
-type probe struct {
+// recordingEngine counts the calls to an engine and fails them on demand.
+type recordingEngine struct {
 	*engine.Engine
 	mutex       sync.Mutex
 	generations int
@@ -46,7 +46,7 @@
 	generateErr error
 }
 
-func (p *probe) Generate(ctx context.Context, request platform.GenerateRequest) (platform.ChunkStream, error) {
+func (p *recordingEngine) Generate(ctx context.Context, request platform.GenerateRequest) (platform.ChunkStream, error) {
 	p.mutex.Lock()
 	p.generations++
 	err := p.generateErr
@@ -57,61 +57,61 @@
 	return p.Engine.Generate(ctx, request)
 }
 
-func (p *probe) Cancel(ctx context.Context, requestID string, attempt uint32) error {
+func (p *recordingEngine) Cancel(ctx context.Context, requestID string, attempt uint32) error {
 	p.mutex.Lock()
 	p.cancels[requestID]++
 	p.mutex.Unlock()
 	return p.Engine.Cancel(ctx, requestID, attempt)
 }
 
-func (p *probe) counts(requestID string) (generations, cancels int) {
+func (p *recordingEngine) counts(requestID string) (generations, cancels int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.generations, p.cancels[requestID]
 }
 
-func (p *probe) failGenerate(err error) {
+func (p *recordingEngine) failGenerate(err error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.generateErr = err
 }
 
-func newWorld(t *testing.T, current bundle.Bundle, configs ...engine.Config) *world {
-	w := &world{
+func newHarness(t *testing.T, current bundle.Bundle, configs ...engine.Config) *harness {
+	h := &harness{
 		t: t, placer: &fakePlacer{here: true, changed: make(chan struct{})}, opener: &fakeOpener{},
 		bundles: &fakeBundles{accepted: &bundle.Accepted{Bundle: current}, notify: newNotifier()}, list: &fakeList{},
-		engines: map[string]*engine.Engine{}, probes: map[string]*probe{}, fakeLedger: newFakeLedger(),
+		engines: map[string]*engine.Engine{}, recorders: map[string]*recordingEngine{}, fakeLedger: newFakeLedger(),
 	}
-	w.addEngines(configs...)
-	w.machines = machines.New(machines.Config{List: w.list})
-	w.Dispatcher = New(Config{
-		Placer: w.placer, Opener: w.opener, Directory: w.machines, Dialer: w, Bundles: w.bundles, Ledger: w.fakeLedger,
+	h.addEngines(configs...)
+	h.machines = machines.New(machines.Config{List: h.list})
+	h.Dispatcher = New(Config{
+		Placer: h.placer, Opener: h.opener, Directory: h.machines, Dialer: h, Bundles: h.bundles, Ledger: h.fakeLedger,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
-	group.Go(func() { _ = w.machines.Run(ctx) })
-	group.Go(func() { _ = w.Run(ctx) })
-	w.stop = func() {
+	group.Go(func() { _ = h.machines.Run(ctx) })
+	group.Go(func() { _ = h.Run(ctx) })
+	h.stop = func() {
 		cancel()
 		group.Wait()
-		for _, running := range w.engines {
+		for _, running := range h.engines {
 			running.Close()
 		}
 	}
-	t.Cleanup(w.stop)
+	t.Cleanup(h.stop)
 	time.Sleep(time.Second)
 	synctest.Wait()
-	return w
+	return h
 }
 
-// addEngines starts engines and lists them.
-func (w *world) addEngines(configs ...engine.Config) {
-	w.list.mutex.Lock()
-	defer w.list.mutex.Unlock()
+// addEngines starts engines and adds them to the machine list.
+func (h *harness) addEngines(configs ...engine.Config) {
+	h.list.mutex.Lock()
+	defer h.list.mutex.Unlock()
 	for _, config := range configs {
-		w.engines[config.ID] = engine.New(config)
-		w.probes[config.ID] = &probe{Engine: w.engines[config.ID], cancels: map[string]int{}}
-		w.list.machines = append(w.list.machines, platform.Machine{
+		h.engines[config.ID] = engine.New(config)
+		h.recorders[config.ID] = &recordingEngine{Engine: h.engines[config.ID], cancels: map[string]int{}}
+		h.list.machines = append(h.list.machines, platform.Machine{
 			ID: config.ID, Kind: platform.MachineEngine, Address: config.ID, Pool: config.Pool, State: platform.MachineLive,
 		})
 	}
@@ -180,7 +180,7 @@
 	return f.changed
 }
 
-func (f *fakePlacer) move() {
+func (f *fakePlacer) moveAway() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.here = false
@@ -188,7 +188,7 @@
 	f.changed = make(chan struct{})
 }
 
-// fakeOpener claims the next epoch with each opening.
+// fakeOpener claims the next epoch at each Open.
 type fakeOpener struct {
 	mutex sync.Mutex
 	epoch uint64
@@ -212,8 +212,8 @@
 	return f.last, nil
 }
 
-// loseOne supersedes a random owner.
-func (f *fakeOpener) loseOne(random *rand.Rand) {
+// supersedeRandom ends a random shard, as if another owner had superseded it.
+func (f *fakeOpener) supersedeRandom(random *rand.Rand) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.all[random.IntN(len(f.all))].end()
@@ -271,7 +271,7 @@
 }
 
 // request starts an interactive request.
-func (w *world) request(ctx context.Context, request peerapi.Execute) *fakeStream {
+func (h *harness) request(ctx context.Context, request peerapi.Execute) *fakeStream {
 	stream := &fakeStream{done: make(chan struct{})}
 	decode := func(into peer.Message) error {
 		*into.(*peerapi.Execute) = request
@@ -279,12 +279,12 @@
 	}
 	go func() {
 		defer close(stream.done)
-		stream.err = w.execute(ctx, decode, stream)
+		stream.err = h.execute(ctx, decode, stream)
 	}()
 	return stream
 }
 
-// wait returns the answer, resumed tokens included, the last event, and the refusal of a request.
+// wait returns the answer including resumed tokens, the last event, and the refusal of a request.
 func (f *fakeStream) wait(resumed []uint32) (tokens []uint32, last peerapi.ExecuteEvent, refusal *peer.Error) {
 	<-f.done
 	tokens = append(tokens, resumed...)
@@ -299,14 +299,14 @@
 	return tokens, last, refusal
 }
 
-// cancelAll cancels every attempt of an engine, also those that have ended.
-func (o *engineOwner) cancelAll(cause error) {
+// cancelAllAttempts cancels every attempt of an engine, including those that have ended.
+func (o *engineOwner) cancelAllAttempts(cause error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	for _, link := range o.links {
 		link.mutex.Lock()
 		for _, each := range link.attempts {
-			each.cancel(cause)
+			each.cancelStream(cause)
 		}
 		link.mutex.Unlock()
 	}
