--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -67,10 +67,10 @@
 	DrainTimeout time.Duration
 	// ReconcileInterval is the time between two attempts to open the shards of engines placed on this node.
 	ReconcileInterval time.Duration
-	// MembershipQuiet is how long the membership must be unchanged before engines are claimed. MaxStableWait limits the
+	// MembershipQuiet is how long the membership must be unchanged before engines are claimed. MaxQuietWait limits the
 	// wait while the membership keeps changing, and MaxJoinWait limits it while most members are unknown.
 	MembershipQuiet time.Duration
-	MaxStableWait   time.Duration
+	MaxQuietWait    time.Duration
 	MaxJoinWait     time.Duration
 }
 
@@ -91,7 +91,7 @@
 	DrainTimeout:      20 * time.Second,
 	ReconcileInterval: 2 * time.Second,
 	MembershipQuiet:   time.Second,
-	MaxStableWait:     15 * time.Second,
+	MaxQuietWait:      15 * time.Second,
 	MaxJoinWait:       time.Minute,
 }
 
@@ -145,7 +145,7 @@
 	setDefault(&c.Timing.DrainTimeout, defaultTiming.DrainTimeout)
 	setDefault(&c.Timing.ReconcileInterval, defaultTiming.ReconcileInterval)
 	setDefault(&c.Timing.MembershipQuiet, defaultTiming.MembershipQuiet)
-	setDefault(&c.Timing.MaxStableWait, defaultTiming.MaxStableWait)
+	setDefault(&c.Timing.MaxQuietWait, defaultTiming.MaxQuietWait)
 	setDefault(&c.Timing.MaxJoinWait, defaultTiming.MaxJoinWait)
 	if c.Joined == nil {
 		c.Joined = func() bool { return true }
--- a/internal/dispatch/slots_test.go
+++ b/internal/dispatch/slots_test.go
@@ -45,15 +45,17 @@
 		}, 0.3)
 		table.setSlots(slots)
 		var entries []*queueEntry
-		trainers := rapid.SampledFrom([]string{"a", "b"})
+		trainingWorkloads := rapid.SampledFrom([]string{"a", "b"})
 		t.Repeat(map[string]func(*rapid.T){
-			"backlog": func(t *rapid.T) { table.setBacklog(trainers.Draw(t, "w"), 0, 1, rapid.IntRange(0, 9).Draw(t, "n")) },
+			"backlog": func(t *rapid.T) {
+				table.setBacklog(trainingWorkloads.Draw(t, "w"), 0, 1, rapid.IntRange(0, 9).Draw(t, "n"))
+			},
 			"pull": func(t *rapid.T) {
-				workload := trainers.Draw(t, "w")
+				workload := trainingWorkloads.Draw(t, "w")
 				running[workload] += table.reserve(workload, rapid.IntRange(0, 9).Draw(t, "n"))
 			},
 			"end": func(t *rapid.T) {
-				workload := trainers.Draw(t, "w")
+				workload := trainingWorkloads.Draw(t, "w")
 				if running[workload] == 0 {
 					t.Skip()
 				}
--- a/internal/dispatch/steadiness.go
+++ b/internal/dispatch/steadiness.go
@@ -26,7 +26,7 @@
 // newStabilityTracker starts unstable, because a process that has just started knows no other members.
 func newStabilityTracker(timing Timing, now time.Time) *stabilityTracker {
 	return &stabilityTracker{
-		quietPeriod: timing.MembershipQuiet, maxWait: timing.MaxStableWait, maxJoinWait: timing.MaxJoinWait, lastChange: now, unstableSince: now,
+		quietPeriod: timing.MembershipQuiet, maxWait: timing.MaxQuietWait, maxJoinWait: timing.MaxJoinWait, lastChange: now, unstableSince: now,
 	}
 }
 
--- a/internal/dispatch/steadiness_test.go
+++ b/internal/dispatch/steadiness_test.go
@@ -11,7 +11,7 @@
 	is := is.New(t)
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
-	tracker := newStabilityTracker(Timing{MembershipQuiet: time.Second, MaxStableWait: 10 * time.Second, MaxJoinWait: time.Minute}, start)
+	tracker := newStabilityTracker(Timing{MembershipQuiet: time.Second, MaxQuietWait: 10 * time.Second, MaxJoinWait: time.Minute}, start)
 	changed := make(chan struct{})
 	change := func() chan struct{} {
 		close(changed)
