--- a/internal/dispatch/slots_test.go
+++ b/internal/dispatch/slots_test.go
@@ -45,17 +45,15 @@
 		}, 0.3)
 		table.setSlots(slots)
 		var entries []*queueEntry
-		trainingWorkloads := rapid.SampledFrom([]string{"a", "b"})
+		sampler := rapid.SampledFrom([]string{"a", "b"})
 		t.Repeat(map[string]func(*rapid.T){
-			"backlog": func(t *rapid.T) {
-				table.setBacklog(trainingWorkloads.Draw(t, "w"), 0, 1, rapid.IntRange(0, 9).Draw(t, "n"))
-			},
+			"backlog": func(t *rapid.T) { table.setBacklog(sampler.Draw(t, "w"), 0, 1, rapid.IntRange(0, 9).Draw(t, "n")) },
 			"pull": func(t *rapid.T) {
-				workload := trainingWorkloads.Draw(t, "w")
+				workload := sampler.Draw(t, "w")
 				running[workload] += table.reserve(workload, rapid.IntRange(0, 9).Draw(t, "n"))
 			},
 			"end": func(t *rapid.T) {
-				workload := trainingWorkloads.Draw(t, "w")
+				workload := sampler.Draw(t, "w")
 				if running[workload] == 0 {
 					t.Skip()
 				}
