--- a/internal/follow/confirmed_test.go
+++ b/internal/follow/confirmed_test.go
@@ -12,23 +12,24 @@
 	"github.com/matryer/is"
 )
 
-// discarding drops all records.
-type discarding struct{}
+// discardApplier drops all records.
+type discardApplier struct{}
 
-func (discarding) Apply(keyedlog.Record, bool) {}
-func (discarding) Advanced(int64)              {}
+func (discardApplier) Apply(keyedlog.Record, bool) {}
+func (discardApplier) Advanced(int64)              {}
 
-// TestConfirmedCountsSuspension checks that what the store confirmed before a suspension is as old as it is in truth, although the steady
-// clock stood still, and that the first answer after it confirms anew.
+// TestConfirmedCountsSuspension checks that the age of the store's last confirmation includes time in suspension,
+// during which the monotonic clock does not advance, and that the first answer after a suspension renews the
+// confirmation.
 func TestConfirmedCountsSuspension(t *testing.T) {
 	defer func(before func() time.Duration) { suspended = before }(suspended)
-	var asleep time.Duration
-	suspended = func() time.Duration { return asleep }
+	var suspendedFor time.Duration
+	suspended = func() time.Duration { return suspendedFor }
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memorylog.New(memorylog.Config{Partitions: 1})
 		follower := New(Config{
-			Log: store.For("node"), Partition: keyedlog.Partition{Topic: keyedlog.TopicJobs}, Applier: discarding{},
+			Log: store.For("node"), Partition: keyedlog.Partition{Topic: keyedlog.TopicJobs}, Applier: discardApplier{},
 			Logger: log.New(io.Discard),
 		})
 		is.True(follower.Confirmed().IsZero())
@@ -39,7 +40,7 @@
 		is.Equal(follower.Confirmed(), confirmed)
 
 		time.Sleep(time.Second)
-		asleep += 4 * time.Second
+		suspendedFor += 4 * time.Second
 		is.Equal(time.Since(follower.Confirmed()), 5*time.Second)
 		is.Equal(follower.Confirmed(), confirmed.Add(-4*time.Second))
 
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,6 +1,7 @@
-// Package follow keeps a process in step with one partition of the store: it reads the newest record of each key, then
-// every record as it is appended, and starts over when the store has dropped what it did not read. It applies records in
-// order of their offsets and never an older record of a key after a newer one.
+// Package follow keeps a process up to date with one partition of the store. A follower reads the newest record of each
+// key, then every record as it is appended, and starts over with the newest records when the store has dropped records
+// that were not read. It applies records in order of their offsets and never applies an older record of a key after a
+// newer one.
 package follow
 
 import (
@@ -20,55 +21,60 @@
 )
 
 const (
-	// retryLeast and retryMost bound the pause after a call that failed. The log bounds each call.
-	retryLeast = 40 * time.Millisecond
-	retryMost  = 250 * time.Millisecond
+	// minBackoff and maxBackoff bound the pause after a failed call. The log bounds the duration of each call.
+	minBackoff = 40 * time.Millisecond
+	maxBackoff = 250 * time.Millisecond
 )
 
-// Applier takes the records of a partition. Calls come from one goroutine.
+// Applier applies the records of a partition. All calls come from one goroutine.
 type Applier interface {
-	// Apply takes a record. recovered says that it was read after the fact, not as it was appended.
+	// Apply applies a record. recovered reports that the record was read as the newest of its key or from a past range,
+	// not as it was appended.
 	Apply(record keyedlog.Record, recovered bool)
-	// Advanced says that all records below end have been applied.
+	// Advanced reports that all records below end have been applied.
 	Advanced(end int64)
 }
 
-// suspended tells how long the machine has been suspended.
+// suspended returns how long the machine has been suspended. Tests replace it.
 var suspended uptime.Meter = uptime.Suspended
 
-// errStale says that the store answered with records older than those read already.
+// errStale is returned when the store's answer is older than what was read before.
 var errStale = errors.New("store answered with older records than before")
 
-// Config configures a follower.
+// Config configures a Follower.
 type Config struct {
 	Log       keyedlog.Log
 	Partition keyedlog.Partition
 	Applier   Applier
-	// From is the offset of the first record that matters, 0 if the newest record of each key does.
+	// From is the offset of the first record to read; 0 begins with the newest record of each key.
 	From int64
-	// Prefix is what the keys begin with whose newest records matter where the store has dropped what was not read; empty for all keys.
+	// Prefix is the prefix of the keys whose newest records are read where the store has dropped records that were not
+	// read; empty for all keys. If it is set, WaitFor waits for the records that the partition held when the newest
+	// records were requested, not for later ones.
 	Prefix string
-	// After is the key after which those keys lie, empty for all. Where it or Prefix is set, callers that wait for the follower wait for what
-	// the partition held when the newest records were asked for, not for records that came since.
+	// After is a key: only newest records of keys that sort after it are read; empty for all.
 	After string
-	// Sample is the key after which a process that needs only some of the keys reads a page of newest records, and another one from the first
-	// key on where that page reaches the last; empty to read all. What is appended later is read whole.
+	// Sample is for a process that needs only some of the keys: of the newest records it reads one page that begins
+	// after this key, and if that page reaches the last key, also the first page of the partition; empty to read all.
+	// Later records are all read as they are appended.
 	Sample string
-	// NewestOnly says that only the newest record of each key matters: a process that was cut off from the store need not read all it has missed.
+	// NewestOnly reports that only the newest record of each key matters: after a disconnection from the store the
+	// follower need not read all records that it has missed.
 	NewestOnly bool
-	// Bytes is about how much one read returns at most, 0 for as much as the store gives.
+	// Bytes is the approximate maximum size of one read, 0 for the store's own limit.
 	Bytes int
 	// Wait is how long the store may hold a read open.
 	Wait time.Duration
-	// Spacing is the least time between two reads that brought records, so that records that come in quick succession are
-	// read together.
+	// Spacing is the minimum time between two reads that returned records, so that records appended in quick succession
+	// are read together.
 	Spacing time.Duration
-	// Busy tells whether this process acts on each record at once, nil stands for always. While it does not, IdleSpacing takes the
-	// place of Spacing, but for whoever waits for records that are there already.
+	// Busy reports whether this process acts on each record at once; nil means always. While it returns false,
+	// IdleSpacing is used instead of Spacing. A caller that waits for records, or Hurry, ends an idle pause early.
 	Busy        func() bool
 	IdleSpacing time.Duration
-	// IdleSpread is how long a process that is not busy puts its first read off at most, at random. Where all processes start at
-	// once, those that act on the records are in step sooner. It ends early as IdleSpacing does.
+	// IdleSpread is the maximum random delay of the first read of a process that is not busy. When all processes start
+	// at the same time, those that act on the records catch up sooner. Like the idle pause, the delay ends early when a
+	// caller waits for records or calls Hurry.
 	IdleSpread time.Duration
 	Logger     *log.Logger
 }
@@ -77,41 +83,46 @@
 type Follower struct {
 	config Config
 
-	// Only the goroutine of Run touches these.
-	next    int64
-	started bool
-	offsets map[string]int64
-	// backlog is kept where only the newest records matter.
+	// The fields up to mutex are used by the goroutine of Run only. nextOffset is the offset of the next record to
+	// read; tailing is false until the newest records have been read; offsets holds the offset of the last record
+	// applied for each key.
+	nextOffset int64
+	tailing    bool
+	offsets    map[string]int64
+	// backlog is used if only the newest records matter.
 	backlog backlog
-	// pager reads the newest records while they are being read, seen holds the keys that it has given.
-	pager *pager
-	seen  map[string]bool
+	// pager reads the newest records and is nil when no such read is in progress; seenKeys holds the keys that it has
+	// returned.
+	pager    *pager
+	seenKeys map[string]bool
 
 	mutex     sync.Mutex
 	end       int64
 	caughtUp  bool
 	confirmed uptime.Mark
 	connected bool
-	// heard says that a call was answered or failed before; returned is when the store answered again after it had not.
-	heard    bool
-	returned time.Time
-	advanced broadcast.Signal
-	// missed tells that somebody waits for records that were not read yet.
-	missed chan struct{}
+	// contacted is set once a call to the store has succeeded or failed; reconnectedAt is when the store last answered
+	// again after failed calls.
+	contacted     bool
+	reconnectedAt time.Time
+	advanced      broadcast.Signal
+	// wake ends the pause of an idle process, because a caller waits for records that were not read yet.
+	wake chan struct{}
 }
 
 // New returns a follower; Run starts it.
 func New(config Config) *Follower {
 	return &Follower{
-		config: config, offsets: make(map[string]int64), advanced: broadcast.New(), missed: make(chan struct{}, 1),
-		next: config.From, started: config.From > 0,
+		config: config, offsets: make(map[string]int64), advanced: broadcast.New(), wake: make(chan struct{}, 1),
+		nextOffset: config.From, tailing: config.From > 0,
 	}
 }
 
-// Run follows until the context ends. After it has returned it may be called again, and goes on where it was.
+// Run follows the partition until the context ends. It may be called again after it has returned, and then resumes at
+// the same offset.
 func (f *Follower) Run(ctx context.Context) {
 	if f.idle() && f.config.IdleSpread > 0 {
-		f.rest(ctx, rand.N(f.config.IdleSpread))
+		f.waitIdle(ctx, rand.N(f.config.IdleSpread))
 	}
 	failures := 0
 	for ctx.Err() == nil {
@@ -126,27 +137,28 @@
 	}
 }
 
-// step catches up or reads one batch.
+// step reads the newest records, or one batch of appended records.
 func (f *Follower) step(ctx context.Context) error {
-	if !f.started {
+	if !f.tailing {
 		return f.catchUp(ctx)
 	}
-	span := keyedlog.Span{From: f.next, Wait: f.config.Wait, Bytes: f.config.Bytes}
-	if !f.inStep() {
-		// Ask what there is, so that the process learns at once that it is in step, or that the store is back.
+	span := keyedlog.Span{From: f.nextOffset, Wait: f.config.Wait, Bytes: f.config.Bytes}
+	if !f.inSync() {
+		// Don't wait for new records: the answer shows at once whether the process has caught up, or that the store is
+		// available again.
 		span.Wait = 0
 	}
 	if f.config.NewestOnly && !f.Connected() {
-		f.backlog.begin()
+		f.backlog.start()
 	}
-	if bound := f.backlog.left(); bound > 0 {
-		span.Bytes = bound
+	if limit := f.backlog.remaining(); limit > 0 {
+		span.Bytes = limit
 	}
 	batch, err := f.config.Log.Read(ctx, f.config.Partition, span)
 	if errors.Is(err, keyedlog.ErrTrimmed) {
-		f.started, f.pager = false, nil
+		f.tailing, f.pager = false, nil
 		f.config.Logger.Info("store dropped records that were not read; reading the newest of each key",
-			"partition", f.config.Partition, "from", f.next)
+			"partition", f.config.Partition, "from", f.nextOffset)
 		return nil
 	}
 	if err != nil {
@@ -155,87 +167,87 @@
 	for _, record := range batch.Records {
 		f.apply(record, false)
 	}
-	f.next += int64(len(batch.Records))
-	switch missed := batch.End - f.next; {
+	f.nextOffset += int64(len(batch.Records))
+	switch missed := batch.End - f.nextOffset; {
 	case missed <= 0:
-		f.backlog.end()
-	case f.backlog.spent():
-		f.backlog.end()
-		f.started, f.pager = false, nil
-		f.config.Logger.Info("skipping to the newest record of each key", "partition", f.config.Partition, "from", f.next, "missed", missed)
+		f.backlog.stop()
+	case f.backlog.exhausted():
+		f.backlog.stop()
+		f.tailing, f.pager = false, nil
+		f.config.Logger.Info("skipping to the newest record of each key", "partition", f.config.Partition, "from", f.nextOffset, "missed", missed)
 	}
-	f.reached(f.next, f.next >= batch.End)
-	if len(batch.Records) > 0 && f.next >= batch.End {
-		f.space(ctx)
+	f.advance(f.nextOffset, f.nextOffset >= batch.End)
+	if len(batch.Records) > 0 && f.nextOffset >= batch.End {
+		f.waitInterval(ctx)
 	}
 	return nil
 }
 
-// space waits before the next read, so that it brings the records of the time between. The idle spacing ends early for somebody
-// who waits for records.
-func (f *Follower) space(ctx context.Context) {
+// waitInterval waits before the next read, so that it returns the records of the meantime together. An idle pause ends
+// early if a caller waits for records.
+func (f *Follower) waitInterval(ctx context.Context) {
 	if f.idle() {
-		f.rest(ctx, f.config.IdleSpacing)
+		f.waitIdle(ctx, f.config.IdleSpacing)
 		return
 	}
 	pause.For(ctx, f.config.Spacing)
 }
 
-// idle tells whether this process does not act on each record at once.
+// idle reports whether this process does not need to act on each record at once.
 func (f *Follower) idle() bool {
 	return f.config.Busy != nil && !f.config.Busy()
 }
 
-// Hurry ends a pause that an idle process makes. Whoever begins to act on the records calls it.
+// Hurry ends a pause of an idle process. Components that begin to act on the records call it.
 func (f *Follower) Hurry() {
 	select {
-	case f.missed <- struct{}{}:
+	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// rest waits, but no longer than until somebody misses records.
-func (f *Follower) rest(ctx context.Context, duration time.Duration) {
+// waitIdle waits for duration, or until a caller waits for records that were not read yet.
+func (f *Follower) waitIdle(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
-	case <-f.missed:
+	case <-f.wake:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// catchUp reads the newest record of every key that matters. Keys that were known and are gone have been dropped. Where it failed it goes on
-// with the page that it lacks.
+// catchUp reads the newest record of every key that matters. Keys that were known and are missing now have been
+// dropped, and are applied as removed. After a failure, the next call resumes at the page that failed.
 func (f *Follower) catchUp(ctx context.Context) error {
 	if f.pager == nil {
-		f.pager, f.seen = newPager(f.config.Log, f.config.Partition, f.config.Prefix, f.config.After), make(map[string]bool)
+		f.pager, f.seenKeys = newPager(f.config.Log, f.config.Partition, f.config.Prefix, f.config.After), make(map[string]bool)
 	}
 	read := f.pager.read
 	if f.config.Sample != "" {
-		f.pager.after = f.config.Sample
+		f.pager.afterKey = f.config.Sample
 		read = f.pager.sample
 	}
 	err := read(ctx, func(record keyedlog.Record) {
-		f.seen[record.Key] = true
+		f.seenKeys[record.Key] = true
 		f.apply(record, true)
 	})
 	if err != nil {
 		return err
 	}
-	first, seen := f.pager.end, f.seen
-	f.pager, f.seen = nil, nil
-	if first < f.next {
+	pageEnd, seenKeys := f.pager.end, f.seenKeys
+	f.pager, f.seenKeys = nil, nil
+	if pageEnd < f.nextOffset {
 		return errStale
 	}
 	for key, offset := range f.offsets {
-		if !seen[key] && offset < first && strings.HasPrefix(key, f.config.Prefix) && key > f.config.After {
-			f.apply(keyedlog.Record{Offset: first - 1, Key: key}, true)
+		if !seenKeys[key] && offset < pageEnd && strings.HasPrefix(key, f.config.Prefix) && key > f.config.After {
+			f.apply(keyedlog.Record{Offset: pageEnd - 1, Key: key}, true)
 		}
 	}
-	f.next = first
-	f.started = true
-	f.reached(f.next, f.config.Prefix != "")
+	f.nextOffset = pageEnd
+	f.tailing = true
+	f.advance(f.nextOffset, f.config.Prefix != "")
 	return nil
 }
 
@@ -245,18 +257,18 @@
 		return
 	}
 	if record.Value == nil {
-		// A dropped key needs no memory: an older record of it cannot come again, since offsets only rise from here.
+		// A dropped key needs no entry: offsets only increase from here on, so no older record of it is read again.
 		delete(f.offsets, record.Key)
 	} else {
 		f.offsets[record.Key] = record.Offset
 	}
 	if f.config.NewestOnly {
-		f.backlog.note(record)
+		f.backlog.add(record)
 	}
 	f.config.Applier.Apply(record, recovered)
 }
 
-func (f *Follower) reached(end int64, caughtUp bool) {
+func (f *Follower) advance(end int64, caughtUp bool) {
 	f.config.Applier.Advanced(end)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -271,11 +283,11 @@
 func (f *Follower) setConnected(ctx context.Context, connected bool, err error) {
 	f.mutex.Lock()
 	changed := f.connected != connected
-	first := !f.heard
+	firstCall := !f.contacted
 	f.connected = connected
-	f.heard = true
-	if connected && changed && !first {
-		f.returned = time.Now()
+	f.contacted = true
+	if connected && changed && !firstCall {
+		f.reconnectedAt = time.Now()
 	}
 	confirmed := f.confirmed
 	f.mutex.Unlock()
@@ -283,8 +295,8 @@
 		return
 	}
 	if connected {
-		if first {
-			f.config.Logger.Debug("store partition followed", "partition", f.config.Partition)
+		if firstCall {
+			f.config.Logger.Debug("following store partition", "partition", f.config.Partition)
 			return
 		}
 		f.config.Logger.Info("store partition regained", "partition", f.config.Partition)
@@ -293,7 +305,7 @@
 	errorlog.Warn(f.config.Logger, "store partition lost", err, "partition", f.config.Partition, "confirmed_ago", ago(confirmed))
 }
 
-// ago returns how long ago a moment was, or never if there was none.
+// ago returns how long ago a moment was, or "never" for the zero value.
 func ago(moment uptime.Mark) string {
 	if moment.IsZero() {
 		return "never"
@@ -301,63 +313,63 @@
 	return moment.Age().Round(time.Millisecond).String()
 }
 
-// Returned is when the store answered again after it had not: now while what its first answer brought is applied, zero if it
-// has answered all along.
+// Returned returns when the store last answered again after failed calls. While the store is unavailable, and until the
+// records of its first answer have been applied, it returns the current time; the zero time if no call has failed.
 func (f *Follower) Returned() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.heard && !f.connected {
+	if f.contacted && !f.connected {
 		return time.Now()
 	}
-	return f.returned
+	return f.reconnectedAt
 }
 
-// Connected tells whether the store answered the last call; true before the first one.
+// Connected reports whether the last call to the store succeeded; true before the first call.
 func (f *Follower) Connected() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.connected || !f.heard
+	return f.connected || !f.contacted
 }
 
-// inStep tells whether the last call succeeded and everything was applied once.
-func (f *Follower) inStep() bool {
+// inSync reports whether the last call succeeded and the follower has caught up at least once.
+func (f *Follower) inSync() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.caughtUp && f.connected
 }
 
-// CaughtUp tells whether everything that was in the partition at some moment has been applied.
+// CaughtUp reports whether, at some moment, everything in the partition had been applied.
 func (f *Follower) CaughtUp() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.caughtUp
 }
 
-// Confirmed returns when the store last said that nothing further was there. By the steady clock it is as long ago as it was in truth,
-// time in suspension included.
+// Confirmed returns when the store last reported that there were no further records. The time is shifted so that its
+// age by the monotonic clock includes time in suspension.
 func (f *Follower) Confirmed() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.confirmed.At()
 }
 
-// WaitFor waits until all records below end have been applied, and everything that was there at some moment.
+// WaitFor waits until all records below end have been applied and the follower has caught up at least once.
 func (f *Follower) WaitFor(ctx context.Context, end int64) error {
-	return f.await(ctx, func() bool { return f.end >= end && f.caughtUp })
+	return f.waitUntil(ctx, func() bool { return f.end >= end && f.caughtUp })
 }
 
-// WaitUntil waits until all records below end have been applied, however many may follow.
+// WaitUntil waits until all records below end have been applied, whether or not the follower has caught up.
 func (f *Follower) WaitUntil(ctx context.Context, end int64) error {
-	return f.await(ctx, func() bool { return f.end >= end })
+	return f.waitUntil(ctx, func() bool { return f.end >= end })
 }
 
-// await waits for a condition on what the mutex guards.
-func (f *Follower) await(ctx context.Context, met func() bool) error {
+// waitUntil waits for a condition on the fields that the mutex guards. The condition is called with the mutex held.
+func (f *Follower) waitUntil(ctx context.Context, condition func() bool) error {
 	for {
 		f.mutex.Lock()
-		reached, advanced := met(), f.advanced.Changed()
+		met, advanced := condition(), f.advanced.Changed()
 		f.mutex.Unlock()
-		if reached {
+		if met {
 			return nil
 		}
 		f.Hurry()
@@ -369,8 +381,9 @@
 	}
 }
 
-// backOff waits a little longer after each failure, and not the same at every process.
+// backOff waits after a failure: exponentially longer with each one, and with random jitter so that processes do not
+// retry in step.
 func backOff(ctx context.Context, failures int) {
-	most := min(retryMost, retryLeast<<min(failures, 4))
-	pause.For(ctx, most/2+rand.N(most/2))
+	limit := min(maxBackoff, minBackoff<<min(failures, 4))
+	pause.For(ctx, limit/2+rand.N(limit/2))
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -22,25 +22,26 @@
 
 var partition = keyedlog.Partition{Topic: keyedlog.TopicJobs, Number: 1}
 
-// state is the newest value of each key, as an applier saw it.
+// state is an applier that holds the newest value of each key. regressions counts records that were applied after a
+// newer record of the same key.
 type state struct {
-	mutex  sync.Mutex
-	values map[string]string
-	newest map[string]int64
-	back   int
+	mutex         sync.Mutex
+	values        map[string]string
+	newestOffsets map[string]int64
+	regressions   int
 }
 
 func newState() *state {
-	return &state{values: make(map[string]string), newest: make(map[string]int64)}
+	return &state{values: make(map[string]string), newestOffsets: make(map[string]int64)}
 }
 
 func (s *state) Apply(record keyedlog.Record, _ bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if record.Offset < s.newest[record.Key] {
-		s.back++
+	if record.Offset < s.newestOffsets[record.Key] {
+		s.regressions++
 	}
-	s.newest[record.Key] = record.Offset
+	s.newestOffsets[record.Key] = record.Offset
 	if record.Value == nil {
 		delete(s.values, record.Key)
 		return
@@ -56,12 +57,12 @@
 	return maps.Clone(s.values)
 }
 
-func start(t *testing.T, store *memorylog.Store, applier follow.Applier) *follow.Follower {
-	return startWith(t, store, applier, func(*follow.Config) {})
+func startFollower(t *testing.T, store *memorylog.Store, applier follow.Applier) *follow.Follower {
+	return startFollowerWith(t, store, applier, func(*follow.Config) {})
 }
 
-// startWith starts a follower with changes to its usual configuration.
-func startWith(
+// startWith starts a follower with the default configuration, modified by change.
+func startFollowerWith(
 	t *testing.T, store *memorylog.Store, applier follow.Applier, change func(config *follow.Config),
 ) *follow.Follower {
 	config := follow.Config{
@@ -95,7 +96,7 @@
 	return appended.End
 }
 
-func TestFollowsWhatWasAndWhatComes(t *testing.T) {
+func TestAppliesExistingAndNewRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memorylog.New(memorylog.Config{Partitions: 4})
@@ -105,7 +106,7 @@
 		put(t, store, "key0", "new")
 		put(t, store, "key1", "")
 		seen := newState()
-		follower := start(t, store, seen)
+		follower := startFollower(t, store, seen)
 		synctest.Wait()
 		is.True(follower.CaughtUp())
 		is.Equal(len(seen.read()), 7)
@@ -114,20 +115,20 @@
 		end := put(t, store, "key2", "newer")
 		is.NoErr(follower.WaitFor(t.Context(), end))
 		is.Equal(seen.read()["key2"], "newer")
-		is.Equal(seen.back, 0)
+		is.Equal(seen.regressions, 0)
 	})
 }
 
-// TestTroubleOfTheStore brings about each trouble of a store while records are written, and checks that the follower is in
-// step within a bound after its end and never went back.
-func TestTroubleOfTheStore(t *testing.T) {
+// TestCatchesUpAfterStoreFault brings about each kind of store fault while records are written, and checks that the
+// follower has caught up within a bound after the fault ends and never applies an older record after a newer one.
+func TestCatchesUpAfterStoreFault(t *testing.T) {
 	const bound = 2500 * time.Millisecond
 	faults := map[string]func(store *memorylog.Store){
-		"down":   func(store *memorylog.Store) { store.SetRule(reads(memorylog.Down)) },
-		"reset":  func(store *memorylog.Store) { store.SetRule(reads(memorylog.LostBefore)) },
-		"silent": func(store *memorylog.Store) { store.SetRule(reads(memorylog.Silent)) },
-		"forgetful while it is away": func(store *memorylog.Store) {
-			store.SetRule(reads(memorylog.Down))
+		"down":   func(store *memorylog.Store) { store.SetRule(faultReads(memorylog.Down)) },
+		"reset":  func(store *memorylog.Store) { store.SetRule(faultReads(memorylog.LostBefore)) },
+		"silent": func(store *memorylog.Store) { store.SetRule(faultReads(memorylog.Silent)) },
+		"trimmed while down": func(store *memorylog.Store) {
+			store.SetRule(faultReads(memorylog.Down))
 			time.AfterFunc(2*time.Second, store.Forget)
 		},
 	}
@@ -140,7 +141,7 @@
 				put(t, store, "dropped", "1")
 				put(t, store, "changed", "1")
 				seen := newState()
-				follower := start(t, store, seen)
+				follower := startFollower(t, store, seen)
 				synctest.Wait()
 				fault(store)
 				time.Sleep(1500 * time.Millisecond)
@@ -153,13 +154,13 @@
 				defer cancel()
 				is.NoErr(follower.WaitFor(ctx, end))
 				is.Equal(seen.read(), map[string]string{"kept": "1", "changed": "2", "added": "1"})
-				is.Equal(seen.back, 0)
+				is.Equal(seen.regressions, 0)
 			})
 		})
 	}
 }
 
-func reads(fault memorylog.Fault) func(memorylog.Call) memorylog.Fault {
+func faultReads(fault memorylog.Fault) func(memorylog.Call) memorylog.Fault {
 	return func(call memorylog.Call) memorylog.Fault {
 		if call.Caller == "node" {
 			return fault
@@ -168,9 +169,9 @@
 	}
 }
 
-// TestAnIdleProcessReadsSeldom writes a record every 50 ms. A process that does not act on them reads what came in a spacing at
-// once, yet sees a record at once that it waits for; one that is busy reads each.
-func TestAnIdleProcessReadsSeldom(t *testing.T) {
+// TestIdleFollowerBatchesReads writes a record every 50 ms. An idle process reads the records of one idle interval
+// together, yet applies a record at once if a caller waits for it; a busy process reads each record.
+func TestIdleFollowerBatchesReads(t *testing.T) {
 	const records, every, spacing = 40, 50 * time.Millisecond, 500 * time.Millisecond
 	for _, busy := range []bool{false, true} {
 		t.Run(fmt.Sprint("busy ", busy), func(t *testing.T) {
@@ -184,7 +185,7 @@
 					}
 					return memorylog.None
 				})
-				follower := startWith(t, store, newState(), func(config *follow.Config) {
+				follower := startFollowerWith(t, store, newState(), func(config *follow.Config) {
 					config.Busy = func() bool { return busy }
 					config.IdleSpacing = spacing
 				})
@@ -195,36 +196,36 @@
 				if busy {
 					is.True(calls.Load() >= records)
 				} else {
-					is.True(int(calls.Load()) <= int(records*every/spacing)+3) // three to find out what there is
+					is.True(int(calls.Load()) <= int(records*every/spacing)+3) // three reads to catch up
 				}
 				end := put(t, store, "wanted", "1")
-				asked := time.Now()
+				waitStart := time.Now()
 				is.NoErr(follower.WaitFor(t.Context(), end))
-				is.Equal(time.Since(asked), time.Duration(0))
+				is.Equal(time.Since(waitStart), time.Duration(0))
 			})
 		})
 	}
 }
 
-// TestAnIdleProcessReadsLateAtFirst starts many processes at once: those that are idle don't all read at once, those that are busy or
-// are told to hurry do.
-func TestAnIdleProcessReadsLateAtFirst(t *testing.T) {
+// TestIdleFollowerDelaysFirstRead starts many processes at the same time. Idle ones spread their first reads over time;
+// busy ones and those whose Hurry is called read at once.
+func TestIdleFollowerDelaysFirstRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const processes, spread = 40, 2 * time.Second
 		store := memorylog.New(memorylog.Config{Partitions: 4})
 		put(t, store, "key", "1")
-		start := func(busy bool) []*follow.Follower {
+		startAll := func(busy bool) []*follow.Follower {
 			var followers []*follow.Follower
 			for range processes {
-				followers = append(followers, startWith(t, store, newState(), func(config *follow.Config) {
+				followers = append(followers, startFollowerWith(t, store, newState(), func(config *follow.Config) {
 					config.Busy = func() bool { return busy }
 					config.IdleSpread = spread
 				}))
 			}
 			return followers
 		}
-		inStep := func(followers []*follow.Follower) int {
+		countCaughtUp := func(followers []*follow.Follower) int {
 			count := 0
 			for _, follower := range followers {
 				if follower.CaughtUp() {
@@ -233,24 +234,24 @@
 			}
 			return count
 		}
-		idle, hurried, busy := start(false), start(false), start(true)
+		idle, hurried, busy := startAll(false), startAll(false), startAll(true)
 		for _, follower := range hurried {
 			follower.Hurry()
 		}
 		synctest.Wait()
-		is.Equal(inStep(busy), processes)
-		is.Equal(inStep(hurried), processes)
-		is.True(inStep(idle) < processes/2)
+		is.Equal(countCaughtUp(busy), processes)
+		is.Equal(countCaughtUp(hurried), processes)
+		is.True(countCaughtUp(idle) < processes/2)
 		time.Sleep(spread)
 		synctest.Wait()
-		is.Equal(inStep(idle), processes)
+		is.Equal(countCaughtUp(idle), processes)
 	})
 }
 
-// TestPagesGoOnWhereTheyFailed has one page of the newest records fail, while a key changes that lies on a page before: the pages before it
-// are not read again, and what changed is read from the log.
-func TestPagesGoOnWhereTheyFailed(t *testing.T) {
-	const records, perPage, failing = 30, 3, 7
+// TestCatchUpResumesAtFailedPage fails the read of one page of the newest records while a key of an earlier page
+// changes. The earlier pages are not read again, and the change is read from the log.
+func TestCatchUpResumesAtFailedPage(t *testing.T) {
+	const records, perPage, failingPage = 30, 3, 7
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memorylog.New(memorylog.Config{Partitions: 4})
@@ -262,15 +263,15 @@
 			if call.Operation != "newest" {
 				return memorylog.None
 			}
-			if pages.Add(1) == failing {
+			if pages.Add(1) == failingPage {
 				return memorylog.Down
 			}
 			return memorylog.None
 		})
 		state := newState()
-		follower := start(t, store, state)
+		follower := startFollower(t, store, state)
 		time.Sleep(time.Millisecond)
-		is.Equal(pages.Load(), int32(failing))
+		is.Equal(pages.Load(), int32(failingPage))
 		put(t, store, "key00", "new")
 		time.Sleep(2 * time.Second)
 		is.True(follower.CaughtUp())
@@ -304,14 +305,15 @@
 	}
 }
 
-// TestWhoWasCutOffReadsTheNewestAlone answers the load of many processes that the store turned away while a large record was written several
-// times: each reads some of its versions at most when it is served again, and small records alone are read as they stand.
-func TestWhoWasCutOffReadsTheNewestAlone(t *testing.T) {
+// TestReconnectReadsOnlyNewestRecords guards against the load of many processes that reconnect to the store after a
+// large record was written several times: each reads at most some of its versions, and small records alone are read as
+// appended.
+func TestReconnectReadsOnlyNewestRecords(t *testing.T) {
 	const large, small = 40 << 10, 60
 	for name, test := range map[string]struct {
-		// larges and smalls are how many records are written while the process is cut off.
+		// larges and smalls are how many records are written while the process is disconnected.
 		larges, smalls int
-		most           int64
+		maxBytes       int64
 	}{
 		"many large ones":  {12, 30, 3*large + 60*small},
 		"one large one":    {1, 30, 2*large + 60*small},
@@ -324,7 +326,7 @@
 				store := memorylog.New(memorylog.Config{Partitions: 2})
 				counted := &countingLog{Log: storetimeout.New(store.For("reader"))}
 				seen := newState()
-				follower := startWith(t, store, seen, func(config *follow.Config) {
+				follower := startFollowerWith(t, store, seen, func(config *follow.Config) {
 					config.Log, config.NewestOnly = counted, true
 				})
 				write := func(larges, smalls, round int) {
@@ -352,16 +354,16 @@
 				write(test.larges, test.smalls, 1)
 				store.Heal()
 				time.Sleep(2 * time.Second)
-				is.True(counted.bytes.Load()-before <= test.most)
+				is.True(counted.bytes.Load()-before <= test.maxBytes)
 
-				// Nothing is missing, nothing went back, and records are read as they come again.
+				// No record is missing, none was applied out of order, and later records are read again.
 				end := put(t, store, "last", "x")
 				is.NoErr(follower.WaitFor(t.Context(), end))
 				values := seen.read()
 				for key, value := range newestOf(t, store) {
 					is.Equal(values[key], value)
 				}
-				is.Equal(seen.back, 0)
+				is.Equal(seen.regressions, 0)
 			})
 		})
 	}
--- a/internal/follow/span.go
+++ b/internal/follow/span.go
@@ -8,19 +8,19 @@
 	"github.com/hillfork/hillfork/internal/keyedlog"
 )
 
-// Range applies the records of a partition from an offset to before another. What the store has dropped is taken from the
-// newest record of each key; records outside the range may come with it. size is about how many bytes the range has, 0 if that
-// is not known.
+// Range applies the records of a partition from offset from up to, but not including, offset to. If the store has
+// dropped any of them, the newest record of each key is applied instead, which may include records outside the range.
+// size is the approximate size of the range in bytes, 0 if unknown.
 func Range(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, from, to int64, size int, applier Applier) error {
-	err := kept(ctx, log, partition, from, to, size, applier)
+	err := applyRange(ctx, log, partition, from, to, size, applier)
 	if errors.Is(err, keyedlog.ErrTrimmed) {
 		return NewestOf(ctx, log, partition, "", applier)
 	}
 	return err
 }
 
-// kept applies the records of a range, if the store has not dropped any of them.
-func kept(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, from, to int64, size int, applier Applier) error {
+// applyRange applies the records of a range, and fails with keyedlog.ErrTrimmed if the store has dropped any of them.
+func applyRange(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, from, to int64, size int, applier Applier) error {
 	for from < to {
 		batch, err := log.Read(ctx, partition, keyedlog.Span{From: from, Bytes: size})
 		if err != nil {
@@ -39,77 +39,78 @@
 	return nil
 }
 
-// NewestBelow applies the newest record of each key of a partition, if the store answers with all that lie below an offset.
-func NewestBelow(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, below int64, applier Applier) error {
+// NewestBelow applies the newest record of each key of a partition. It fails with errStale, and applies nothing, if the
+// store's answer does not cover all records below the offset.
+func NewestBelow(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, end int64, applier Applier) error {
 	var records []keyedlog.Record
-	end, err := pages(ctx, log, partition, "", func(record keyedlog.Record) { records = append(records, record) })
+	newestEnd, err := readNewest(ctx, log, partition, "", func(record keyedlog.Record) { records = append(records, record) })
 	if err != nil {
 		return err
 	}
-	if end < below {
+	if newestEnd < end {
 		return errStale
 	}
 	for _, record := range records {
 		applier.Apply(record, true)
 	}
-	applier.Advanced(end)
+	applier.Advanced(newestEnd)
 	return nil
 }
 
 // NewestOf applies the newest record of each key of a partition that begins with a prefix.
 func NewestOf(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, prefix string, applier Applier) error {
-	_, err := pages(ctx, log, partition, prefix, func(record keyedlog.Record) { applier.Apply(record, true) })
+	_, err := readNewest(ctx, log, partition, prefix, func(record keyedlog.Record) { applier.Apply(record, true) })
 	return err
 }
 
-// pages gives the newest record of each key of a partition that begins with a prefix, and returns the partition's end when the first page
-// was read.
-func pages(
-	ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, prefix string, give func(record keyedlog.Record),
+// readNewest passes the newest record of each key that begins with a prefix to handle, and returns the end of the
+// partition at the time the first page was read.
+func readNewest(
+	ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, prefix string, handle func(record keyedlog.Record),
 ) (end int64, err error) {
 	pager := newPager(log, partition, prefix, "")
-	err = pager.read(ctx, give)
+	err = pager.read(ctx, handle)
 	return pager.end, err
 }
 
-// pager reads the newest record of each key of a partition that begins with a prefix, page by page. The store gives keys in their order, so
-// that those of a prefix lie together.
+// pager reads the newest record of each key of a partition that begins with a prefix, page by page. The store returns
+// keys in sorted order, so the keys of a prefix are contiguous.
 type pager struct {
 	log       keyedlog.Log
 	partition keyedlog.Partition
 	prefix    string
-	// after is the last key that was read; begun says that a page was, end is the partition's end then: whatever changes later lies at or
-	// after it.
-	after string
-	begun bool
-	end   int64
+	// afterKey is the last key that was read; started is set once a page was read, and end is the partition's end at
+	// that time: every later change has an offset of end or higher.
+	afterKey string
+	started  bool
+	end      int64
 }
 
-// newPager returns a pager that begins after a key, with the first key of the prefix if that is empty.
-func newPager(log keyedlog.Log, partition keyedlog.Partition, prefix, after string) *pager {
-	started := &pager{log: log, partition: partition, prefix: prefix, after: after}
-	if prefix != "" && after == "" {
-		// A page begins after a key, and the prefix may be one.
-		started.after = prefix[:len(prefix)-1]
+// newPager returns a pager that begins after a key, or with the first key of the prefix if afterKey is empty.
+func newPager(log keyedlog.Log, partition keyedlog.Partition, prefix, afterKey string) *pager {
+	p := &pager{log: log, partition: partition, prefix: prefix, afterKey: afterKey}
+	if prefix != "" && afterKey == "" {
+		// A page excludes the key that it begins after, and the prefix itself may be a key.
+		p.afterKey = prefix[:len(prefix)-1]
 	}
-	return started
+	return p
 }
 
-// read gives all records. If it fails, the next call goes on with the page that failed.
-func (p *pager) read(ctx context.Context, give func(record keyedlog.Record)) error {
+// read passes all records to handle. After a failure, the next call resumes at the page that failed.
+func (p *pager) read(ctx context.Context, handle func(record keyedlog.Record)) error {
 	for {
-		page, err := p.log.Newest(ctx, p.partition, p.after)
+		page, err := p.log.Newest(ctx, p.partition, p.afterKey)
 		if err != nil {
 			return err
 		}
-		if !p.begun {
-			p.begun, p.end = true, page.End
+		if !p.started {
+			p.started, p.end = true, page.End
 		}
 		for _, record := range page.Records {
-			p.after = record.Key
+			p.afterKey = record.Key
 			switch {
 			case strings.HasPrefix(record.Key, p.prefix):
-				give(record)
+				handle(record)
 			case record.Key > p.prefix:
 				return nil
 			}
@@ -120,16 +121,16 @@
 	}
 }
 
-// sample gives the records of the page that begins where the pager stands, and of the first page too if that one reaches the last key. The
-// keys between the two are left out.
-func (p *pager) sample(ctx context.Context, give func(record keyedlog.Record)) error {
-	page, err := p.log.Newest(ctx, p.partition, p.after)
+// sample passes the records of one page, which begins after afterKey, to handle; if that page reaches the last key,
+// also those of the partition's first page. All other keys are skipped.
+func (p *pager) sample(ctx context.Context, handle func(record keyedlog.Record)) error {
+	page, err := p.log.Newest(ctx, p.partition, p.afterKey)
 	if err != nil {
 		return err
 	}
-	p.begun, p.end = true, page.End
+	p.started, p.end = true, page.End
 	for _, record := range page.Records {
-		give(record)
+		handle(record)
 	}
 	if page.More {
 		return nil
@@ -139,20 +140,20 @@
 		return err
 	}
 	for _, record := range page.Records {
-		give(record)
+		handle(record)
 	}
 	return nil
 }
 
-// lastKey sorts after every key, so that a page after it holds nothing but the partition's end.
+// lastKey sorts after every key, so a page after it contains no records, only the partition's end.
 const lastKey = "~"
 
-// Reader tells how far a partition was read.
+// Reader waits until the records of a partition below an offset have been read.
 type Reader interface {
 	WaitFor(ctx context.Context, end int64) error
 }
 
-// Confirm waits until a reader has all that its partition holds now.
+// Confirm waits until a reader has read all records that the partition holds now.
 func Confirm(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, reader Reader) error {
 	page, err := log.Newest(ctx, partition, lastKey)
 	if err != nil {
@@ -161,30 +162,33 @@
 	return reader.WaitFor(ctx, page.End)
 }
 
-// readsTogether is how many reads of one range are under way at once. The store gives one read a part of what it can give.
-const readsTogether = 4
+// concurrentReads is the number of concurrent reads of one range. The store serves a single read with only a fraction
+// of its throughput.
+const concurrentReads = 4
 
-// RangeTogether applies the records of a partition from an offset to before another as Range does, in order, and reads several
-// parts of them at once. It holds what it reads until it is applied. What the store has dropped is read once for all parts.
+// RangeTogether applies the records of a range as Range does, in order, but reads several parts of the range
+// concurrently and buffers them until they are applied. If the store has dropped records, the newest records are read
+// once for all parts.
 func RangeTogether(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, from, to int64, applier Applier) error {
-	err := keptTogether(ctx, log, partition, from, to, applier)
+	err := applyRangeConcurrently(ctx, log, partition, from, to, applier)
 	if errors.Is(err, keyedlog.ErrTrimmed) {
 		return NewestOf(ctx, log, partition, "", applier)
 	}
 	return err
 }
 
-// keptTogether applies the records of a range, if the store has not dropped any of them, and reads several parts of it at once.
-func keptTogether(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, from, to int64, applier Applier) error {
+// applyRangeConcurrently reads several parts of a range concurrently and applies their records in order. It fails with
+// keyedlog.ErrTrimmed if the store has dropped any of them.
+func applyRangeConcurrently(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, from, to int64, applier Applier) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var parts []chan gathered
-	for _, bounds := range split(from, to, readsTogether) {
-		part := make(chan gathered, 1)
+	var parts []chan bufferedPart
+	for _, bounds := range split(from, to, concurrentReads) {
+		part := make(chan bufferedPart, 1)
 		parts = append(parts, part)
 		go func() {
-			read := gathered{}
-			read.err = kept(ctx, log, partition, bounds[0], bounds[1], 0, &read)
+			read := bufferedPart{}
+			read.err = applyRange(ctx, log, partition, bounds[0], bounds[1], 0, &read)
 			part <- read
 		}()
 	}
@@ -200,23 +204,23 @@
 	return nil
 }
 
-// gathered holds the records of one part of a range until their turn.
-type gathered struct {
+// bufferedPart buffers the records of one part of a range until the parts before it have been applied.
+type bufferedPart struct {
 	records []keyedlog.Record
 	err     error
 }
 
-// Apply keeps a record.
-func (g *gathered) Apply(record keyedlog.Record, _ bool) { g.records = append(g.records, record) }
+// Apply buffers a record.
+func (p *bufferedPart) Apply(record keyedlog.Record, _ bool) { p.records = append(p.records, record) }
 
-// Advanced does nothing: a range has its end.
-func (g *gathered) Advanced(int64) {}
+// Advanced does nothing: the end of the range is known.
+func (p *bufferedPart) Advanced(int64) {}
 
-// split divides a range into at most so many parts of about the same length, in order.
-func split(from, to int64, most int) [][2]int64 {
+// split divides a range into at most maxParts parts of about the same length, in order.
+func split(from, to int64, maxParts int) [][2]int64 {
 	var parts [][2]int64
-	for left := int64(most); left > 0 && from < to; left-- {
-		next := from + (to-from+left-1)/left
+	for remaining := int64(maxParts); remaining > 0 && from < to; remaining-- {
+		next := from + (to-from+remaining-1)/remaining
 		parts = append(parts, [2]int64{from, next})
 		from = next
 	}
--- a/internal/follow/span_test.go
+++ b/internal/follow/span_test.go
@@ -14,23 +14,25 @@
 	"github.com/matryer/is"
 )
 
-// ordered keeps the offsets that were applied.
-type ordered struct{ offsets []int64 }
+// offsetRecorder records the offsets that were applied.
+type offsetRecorder struct{ offsets []int64 }
 
-func (o *ordered) Apply(record keyedlog.Record, _ bool) { o.offsets = append(o.offsets, record.Offset) }
-func (o *ordered) Advanced(int64)                       {}
+func (o *offsetRecorder) Apply(record keyedlog.Record, _ bool) {
+	o.offsets = append(o.offsets, record.Offset)
+}
+func (o *offsetRecorder) Advanced(int64) {}
 
-// slowLog gives few records a read.
-type slowLog struct{ keyedlog.Log }
+// smallBatchLog returns few records per read.
+type smallBatchLog struct{ keyedlog.Log }
 
-func (l slowLog) Read(ctx context.Context, partition keyedlog.Partition, span keyedlog.Span) (keyedlog.Batch, error) {
+func (l smallBatchLog) Read(ctx context.Context, partition keyedlog.Partition, span keyedlog.Span) (keyedlog.Batch, error) {
 	span.Bytes = 5
 	return l.Log.Read(ctx, partition, span)
 }
 
-// TestPartsReadTogetherAreAppliedInOrder reads ranges of many lengths from a store that gives a few records a call: each record is
-// applied once and in order, and the reads of the parts take place at once.
-func TestPartsReadTogetherAreAppliedInOrder(t *testing.T) {
+// TestConcurrentRangeAppliesInOrder reads ranges of many lengths from a store that returns a few records per call: each
+// record is applied once and in order, and the parts are read concurrently.
+func TestConcurrentRangeAppliesInOrder(t *testing.T) {
 	for _, bounds := range [][2]int64{{0, 0}, {0, 1}, {0, 3}, {0, 40}, {7, 40}, {39, 40}, {13, 30}} {
 		t.Run(fmt.Sprint(bounds), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -40,9 +42,9 @@
 				for i := range 40 {
 					put(t, store, fmt.Sprint(i), "x")
 				}
-				applied := new(ordered)
+				applied := new(offsetRecorder)
 				started := time.Now()
-				log := slowLog{store.For("node")}
+				log := smallBatchLog{store.For("node")}
 				is.NoErr(follow.RangeTogether(t.Context(), log, partition, bounds[0], bounds[1], applied))
 				count := int(bounds[1] - bounds[0])
 				is.Equal(len(applied.offsets), count)
@@ -55,8 +57,9 @@
 	}
 }
 
-// TestAPartThatCannotBeReadFailsTheRange checks that nothing is taken for whole that is not.
-func TestAPartThatCannotBeReadFailsTheRange(t *testing.T) {
+// TestConcurrentRangeFailsOnReadError checks that a range is not reported as complete if one of its parts could not be
+// read.
+func TestConcurrentRangeFailsOnReadError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memorylog.New(memorylog.Config{Partitions: 4, Delay: time.Millisecond})
@@ -71,17 +74,17 @@
 			}
 			return memorylog.None
 		})
-		is.True(follow.RangeTogether(t.Context(), store.For("node"), partition, 0, 40, new(ordered)) != nil)
+		is.True(follow.RangeTogether(t.Context(), store.For("node"), partition, 0, 40, new(offsetRecorder)) != nil)
 		store.Heal()
 		store.Forget()
-		forgotten := new(ordered)
-		is.NoErr(follow.RangeTogether(t.Context(), store.For("node"), partition, 0, 40, forgotten))
-		is.True(len(forgotten.offsets) >= 40)
+		trimmed := new(offsetRecorder)
+		is.NoErr(follow.RangeTogether(t.Context(), store.For("node"), partition, 0, 40, trimmed))
+		is.True(len(trimmed.offsets) >= 40)
 	})
 }
 
-// TestTheNewestOfAPrefix checks which keys are read of a partition whose keys begin alike.
-func TestTheNewestOfAPrefix(t *testing.T) {
+// TestNewestOfPrefix checks which keys are read from a partition with similar keys.
+func TestNewestOfPrefix(t *testing.T) {
 	tests := []struct {
 		prefix string
 		want   []string
@@ -100,23 +103,23 @@
 				put(t, store, key, "value")
 			}
 			store.Forget()
-			read := new(keys)
+			read := new(keyRecorder)
 			is.NoErr(follow.NewestOf(t.Context(), store.For("test"), partition, test.prefix, read))
 			is.Equal([]string(*read), test.want)
 		})
 	}
 }
 
-// keys notes the keys of the records that it is given.
-type keys []string
+// keyRecorder records the keys that were applied.
+type keyRecorder []string
 
-func (k *keys) Apply(record keyedlog.Record, _ bool) { *k = append(*k, record.Key) }
-func (k *keys) Advanced(int64)                       {}
+func (k *keyRecorder) Apply(record keyedlog.Record, _ bool) { *k = append(*k, record.Key) }
+func (k *keyRecorder) Advanced(int64)                       {}
 
-// TestARangeThatIsGoneIsReadOnce reads a range in parts of which the store has dropped the records. Each part read the newest record of every
-// key then, the same ones four times over: an owner that took a partition over from a store that keeps some seconds of history had
-// its items wait for that.
-func TestARangeThatIsGoneIsReadOnce(t *testing.T) {
+// TestTrimmedRangeReadsNewestOnce reads a range in parts after the store has dropped its records. Without the shared
+// read each of the four parts would read the newest record of every key, which delayed the items of an owner that took
+// over a partition from a store that retains only some seconds of history.
+func TestTrimmedRangeReadsNewestOnce(t *testing.T) {
 	const records, perPage = 60, 3
 	is := is.New(t)
 	store := memorylog.New(memorylog.Config{Partitions: 1})
@@ -132,7 +135,7 @@
 		}
 		return memorylog.None
 	})
-	read := new(keys)
+	read := new(keyRecorder)
 	is.NoErr(follow.RangeTogether(t.Context(), store.For("test"), partition, 0, end, read))
 	is.Equal(len(*read), records)
 	is.Equal(pages.Load(), int32(records/perPage))
