--- a/internal/fencing/fencing_test.go
+++ b/internal/fencing/fencing_test.go
@@ -20,10 +20,10 @@
 
 var partition = keyedlog.Partition{Topic: keyedlog.TopicJobs}
 
-func open(t *testing.T, store *memorylog.Store, name string, epoch int64) *fencing.Writer {
+func openWriter(t *testing.T, store *memorylog.Store, name string, generation int64) *fencing.Writer {
 	t.Helper()
 	writer := fencing.New(fencing.Config{
-		Log: store.For(name), Partition: partition, Name: "owner", Generation: epoch, Logger: log.New(io.Discard),
+		Log: store.For(name), Partition: partition, Name: "owner", Generation: generation, Logger: log.New(io.Discard),
 	})
 	if _, err := writer.Open(t.Context()); err != nil {
 		t.Fatal(err)
@@ -31,8 +31,8 @@
 	return writer
 }
 
-// written returns the records of the partition but those by which owners open it.
-func written(store *memorylog.Store) []keyedlog.Record {
+// writtenRecords returns the records of the partition except those that Open writes.
+func writtenRecords(store *memorylog.Store) []keyedlog.Record {
 	return slices.DeleteFunc(store.Records(partition), func(r keyedlog.Record) bool { return r.Key == keyedlog.OwnerKey })
 }
 
@@ -40,8 +40,9 @@
 	return []keyedlog.Record{{Key: fmt.Sprint(value), Value: []byte("x")}}
 }
 
-// TestEveryAppendIsMadeOnce loses calls and answers at random, and checks that every record is there once and in order.
-func TestEveryAppendIsMadeOnce(t *testing.T) {
+// TestAppendIsAppliedExactlyOnce loses calls and answers at random, and checks that every record is stored once and in
+// order.
+func TestAppendIsAppliedExactlyOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memorylog.New(memorylog.Config{Partitions: 1})
@@ -49,26 +50,27 @@
 		store.SetRule(func(memorylog.Call) memorylog.Fault {
 			return []memorylog.Fault{memorylog.None, memorylog.LostAfter, memorylog.LostBefore, memorylog.Down}[random.Intn(4)]
 		})
-		writer := open(t, store, "a", 1)
+		writer := openWriter(t, store, "a", 1)
 		const appends = 200
 		for i := range appends {
 			_, err := writer.Append(t.Context(), record(i))
 			is.NoErr(err)
 		}
-		records := written(store)
+		records := writtenRecords(store)
 		is.Equal(len(records), appends)
-		for i, written := range records {
-			is.Equal(written.Key, fmt.Sprint(i))
+		for i, stored := range records {
+			is.Equal(stored.Key, fmt.Sprint(i))
 		}
 	})
 }
 
-// TestASupersededWriterWritesNothing checks a writer that goes on believing, also with an append that is done late.
-func TestASupersededWriterWritesNothing(t *testing.T) {
+// TestSupersededWriterCannotAppend checks that a writer that does not know yet that it is superseded writes nothing,
+// including an earlier append that the store applies late.
+func TestSupersededWriterCannotAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memorylog.New(memorylog.Config{Partitions: 1, Late: time.Second})
-		old := open(t, store, "old", 1)
+		old := openWriter(t, store, "old", 1)
 		store.SetRule(func(call memorylog.Call) memorylog.Fault {
 			if call.Caller == "old" {
 				return memorylog.LostLate
@@ -79,7 +81,7 @@
 		defer cancel()
 		_, err := old.Append(ctx, record(1))
 		is.True(errors.Is(err, context.DeadlineExceeded))
-		next := open(t, store, "next", 2)
+		next := openWriter(t, store, "next", 2)
 		time.Sleep(2 * time.Second)
 		store.Heal()
 		_, err = old.Append(t.Context(), record(2))
@@ -87,14 +89,14 @@
 		<-old.Superseded()
 		_, err = next.Append(t.Context(), record(3))
 		is.NoErr(err)
-		is.Equal(len(written(store)), 1)
+		is.Equal(len(writtenRecords(store)), 1)
 	})
 }
 
-// TestARestartedOwnerHasAnEpochOfItsOwn opens a partition several times under one generation, as processes do that are started
-// again, after any number of appends and while calls and answers are lost. Each ends what the ones before may write, also what was
-// under way, and nothing that was written is lost or there twice. The next generation ends them all.
-func TestARestartedOwnerHasAnEpochOfItsOwn(t *testing.T) {
+// TestRestartedOwnerGetsHigherEpoch opens a partition several times in one generation, as restarted processes do, after
+// any number of appends and while calls and answers are lost. Each process fences the earlier ones, including their
+// appends in flight, and no record is lost or written twice. The next generation fences them all.
+func TestRestartedOwnerGetsHigherEpoch(t *testing.T) {
 	for appends := range 8 {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -106,7 +108,7 @@
 			var earlier []*fencing.Writer
 			count := 0
 			for restart := range 6 {
-				next := open(t, store, fmt.Sprint("process", restart), 3)
+				next := openWriter(t, store, fmt.Sprint("process", restart), 3)
 				for _, old := range earlier {
 					is.True(old.Epoch() < next.Epoch())
 					_, err := old.Append(t.Context(), record(1000))
@@ -119,14 +121,14 @@
 				}
 				earlier = append(earlier, next)
 			}
-			successor := open(t, store, "successor", 4)
+			successor := openWriter(t, store, "successor", 4)
 			is.True(successor.Epoch() > earlier[len(earlier)-1].Epoch())
 			_, err := earlier[len(earlier)-1].Append(t.Context(), record(1000))
 			is.Equal(err, fencing.ErrSuperseded)
 			time.Sleep(2 * time.Second)
 			var keys []string
-			for _, kept := range written(store) {
-				keys = append(keys, kept.Key)
+			for _, stored := range writtenRecords(store) {
+				keys = append(keys, stored.Key)
 			}
 			is.Equal(len(keys), count)
 			for i, key := range keys {
--- a/internal/fencing/window.go
+++ b/internal/fencing/window.go
@@ -7,42 +7,42 @@
 	"github.com/hillfork/hillfork/internal/uptime"
 )
 
-// suspended tells how long the machine has been suspended.
+// suspended returns how long the machine has been suspended. Tests replace it.
 var suspended uptime.Meter = uptime.Suspended
 
-// Window is the time within which a call may be sent that was announced. It lasts SendWindow from its beginning, before the announcement
-// is written, and ends for a machine that was paused or suspended meanwhile: another owner may act by then.
+// Window is the time within which an announced call may be sent. It starts before the announcement is written and lasts
+// SendWindow. Time in which the machine was paused or suspended counts, because another owner may act by then.
 type Window struct {
-	began uptime.Mark
+	start uptime.Mark
 }
 
-// BeginWindow begins a window.
+// BeginWindow returns a window that starts now.
 func BeginWindow() Window {
-	return Window{began: suspended.Mark()}
+	return Window{start: suspended.Mark()}
 }
 
-// From returns the window as it is where it began at a later moment. A suspension since BeginWindow still ends it.
-func (w Window) From(began time.Time) Window {
-	w.began = w.began.Moved(began)
+// From returns the window with its start moved to a later moment. A suspension since BeginWindow still counts.
+func (w Window) From(start time.Time) Window {
+	w.start = w.start.Moved(start)
 	return w
 }
 
-// Age is how long ago the window began, time in suspension included.
+// Age returns how long ago the window started, including time in suspension.
 func (w Window) Age() time.Duration {
-	return w.began.Age()
+	return w.start.Age()
 }
 
-// Until is when the window ends, by the steady clock as it runs now.
+// Until returns when the window ends by the monotonic clock, assuming no further suspension.
 func (w Window) Until() time.Time {
-	return w.began.At().Add(SendWindow)
+	return w.start.At().Add(SendWindow)
 }
 
-// Over tells whether nothing may be sent any more.
+// Over reports whether the window has ended, so that no call may be sent any more.
 func (w Window) Over() bool {
 	return w.Age() >= SendWindow
 }
 
-// Context returns a context for the call. It ends with the window, or at once if that is over.
+// Context returns a context for the call. It ends with the window, or at once if the window is over.
 func (w Window) Context(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithDeadline(ctx, w.Until())
 }
--- a/internal/fencing/window_test.go
+++ b/internal/fencing/window_test.go
@@ -8,11 +8,12 @@
 	"github.com/matryer/is"
 )
 
-// TestWindow checks that a window ends with its time, and that time in suspension counts although the steady clock stands still.
-func TestWindow(t *testing.T) {
+// TestWindowExpiry checks that a window ends after SendWindow, and that time in suspension counts although the
+// monotonic clock does not advance.
+func TestWindowExpiry(t *testing.T) {
 	defer func(before func() time.Duration) { suspended = before }(suspended)
-	var asleep time.Duration
-	suspended = func() time.Duration { return asleep }
+	var suspendedFor time.Duration
+	suspended = func() time.Duration { return suspendedFor }
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		window := BeginWindow()
@@ -27,7 +28,7 @@
 		is.True(ctx.Err() != nil)
 
 		window = BeginWindow()
-		asleep += 4 * time.Second
+		suspendedFor += 4 * time.Second
 		is.True(window.Over())
 		late, cancelLate := window.Context(t.Context())
 		defer cancelLate()
