--- a/internal/clientconn/clientconn.go
+++ b/internal/clientconn/clientconn.go
@@ -1,9 +1,10 @@
-// Package clientconn keeps account of the connections that clients hold to an HTTP server, and ends them at a planned stop without losing a
-// request.
+// Package clientconn tracks the connections of clients to an HTTP server, and closes them during a planned stop without
+// losing a request.
 //
-// HTTP/1.1 can't announce that an idle connection closes, so a stop lets clients use each connection once more, has the answer end it, and
-// closes what is left only once nothing is under way there. http.Server.Shutdown must not be used for that: while it runs the server
-// reads requests and closes their connections without an answer.
+// HTTP/1.1 can't announce that an idle connection will be closed. A stop therefore lets clients use each connection
+// once more, closes it with the response, and closes the remaining connections only once they are idle.
+// http.Server.Shutdown must not be used for that: while it runs, the server reads requests and closes their connections
+// without a response.
 package clientconn
 
 import (
@@ -23,36 +24,39 @@
 )
 
 const (
-	// endLook is how often End looks for connections that have fallen quiet.
-	endLook = 10 * time.Millisecond
-	// quietLeast is how long nothing has to have come over a connection before it is taken for idle. The first request of a new connection
-	// and the rest of one that is being sent come within a round trip: 40 ms between distant regions, and a peer's pause for processor time.
-	quietLeast = 100 * time.Millisecond
-	// acceptLook is how often the end of a listener looks whether connections wait, acceptMost how long it leaves them: a process with a
-	// fifth of a core accepts some thousand a second.
-	acceptLook = time.Millisecond
-	acceptMost = 300 * time.Millisecond
+	// idleCheckInterval is how often End checks for connections that have become idle.
+	idleCheckInterval = 10 * time.Millisecond
+	// minIdle is how long nothing must have been received on a connection before it is considered idle. The first
+	// request of a new connection, and the rest of a request that is being sent, arrive within a round trip: 40 ms
+	// between distant regions, plus the time for which a peer waits for a CPU.
+	minIdle = 100 * time.Millisecond
+	// acceptPollInterval is how often Close of a listener checks whether connections wait to be accepted; maxAcceptWait
+	// is how long it waits for them at most. A process with a fifth of a core accepts some thousand connections per
+	// second.
+	acceptPollInterval = time.Millisecond
+	maxAcceptWait      = 300 * time.Millisecond
 )
 
-// Tracker knows the open connections of one http.Server. Its Listener and its Observe have to be those of the server. It is safe for
-// concurrent use. The zero value works.
+// Tracker tracks the open connections of one http.Server. The server must use the listener that Listener returns, and
+// Observe as its ConnState hook. It is safe for concurrent use. The zero value is ready to use.
 type Tracker struct {
 	mutex sync.Mutex
 	open  map[*conn]struct{}
-	// changed tells that a connection was closed.
+	// changed signals that a connection was closed.
 	changed broadcast.Signal
 	counts  Counts
 }
 
-// Counts are numbers of connections since the tracker was made.
+// Counts holds numbers of connections since the tracker was created.
 type Counts struct {
-	// Open are those that are open now.
+	// Open is the number of connections that are open now.
 	Open int
-	// Unanswered are those from which something was read that no answer has begun to: open ones, and ones that the server has closed so.
+	// Unanswered is the number of connections from which data was read to which no response has begun: open ones, and
+	// ones that the server closed in this state.
 	Unanswered int
 }
 
-// Counts returns the numbers.
+// Counts returns the current counts.
 func (t *Tracker) Counts() Counts {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -66,7 +70,8 @@
 	return counts
 }
 
-// Listener returns a listener whose connections the tracker knows. Its Close leaves time for connections that wait to be accepted.
+// Listener returns a listener whose connections are tracked. Its Close first waits for connections that have not been
+// accepted yet.
 func (t *Tracker) Listener(inner net.Listener) net.Listener {
 	return &listener{Listener: inner, tracker: t}
 }
@@ -82,21 +87,22 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: accepted, used: time.Now()}
-	l.tracker.opened(c)
+	c := &conn{Conn: accepted, lastUsed: time.Now()}
+	l.tracker.add(c)
 	return c, nil
 }
 
-// Close closes the listener once no connection waits to be accepted, or after acceptMost. Those that wait would be reset, with the requests that
-// were sent over them: of 600 connections to a process that stood still for 600 ms before it closed its listener 598 were.
+// Close closes the listener once no connection waits to be accepted, or after maxAcceptWait. Connections that still
+// wait would be reset, along with the requests sent over them: 598 of 600 connections were reset when a process was
+// suspended for 600 ms before it closed its listener.
 func (l *listener) Close() error {
-	for began := time.Now(); isReadable(l.Listener) && time.Since(began) < acceptMost; {
-		time.Sleep(acceptLook)
+	for start := time.Now(); isReadable(l.Listener) && time.Since(start) < maxAcceptWait; {
+		time.Sleep(acceptPollInterval)
 	}
 	return l.Listener.Close()
 }
 
-func (t *Tracker) opened(c *conn) {
+func (t *Tracker) add(c *conn) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.open == nil {
@@ -116,11 +122,11 @@
 	case http.StateActive, http.StateIdle:
 		c.setActive(state == http.StateActive)
 	case http.StateClosed, http.StateHijacked:
-		t.closed(c)
+		t.remove(c)
 	}
 }
 
-func (t *Tracker) closed(c *conn) {
+func (t *Tracker) remove(c *conn) {
 	unanswered := c.unanswered()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -131,7 +137,7 @@
 	t.changed.Notify()
 }
 
-// Await waits until no connection is open. The error is that of the context, if it ends before.
+// Await waits until no connection is open. It returns the context's error if the context ends first.
 func (t *Tracker) Await(ctx context.Context) error {
 	for {
 		t.mutex.Lock()
@@ -148,13 +154,13 @@
 	}
 }
 
-// End closes connections on which nothing is under way, as they fall quiet, and returns once none is open. The error is that of the
-// context, if it ends before.
+// End closes connections as they become idle, and returns once none is open. It returns the context's error if the
+// context ends first.
 func (t *Tracker) End(ctx context.Context) error {
-	ticker := time.NewTicker(endLook)
+	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
 	for {
-		if t.endIdle() == 0 {
+		if t.interruptIdle() == 0 {
 			return nil
 		}
 		select {
@@ -165,13 +171,14 @@
 	}
 }
 
-// endIdle has idle connections ended and returns how many are open.
-func (t *Tracker) endIdle() (open int) {
+// interruptIdle interrupts the reads of idle connections, which closes them, and returns the number of open
+// connections.
+func (t *Tracker) interruptIdle() (open int) {
 	t.mutex.Lock()
 	connections := slices.Collect(maps.Keys(t.open))
 	t.mutex.Unlock()
 	for _, c := range connections {
-		c.endIfIdle()
+		c.interruptIfIdle()
 	}
 	return len(connections)
 }
@@ -181,37 +188,40 @@
 	net.Conn
 
 	mutex sync.Mutex
-	// active says that the server has read a request whose answer is not finished; answering that its answer has begun, served that a request
-	// was read on this connection before.
-	active, answering, served bool
-	// asked says that bytes were read since the last ones were written; left says that the client has ended its side.
-	asked, left bool
-	// used is when the connection was accepted, or bytes were last read or written.
-	used time.Time
-	// ending says that the read under way is ended to close the connection.
-	ending bool
+	// active is set while a request has been read whose response is not finished; responseStarted is set while a
+	// response has begun and is not finished; served is set once a request was read on this connection.
+	active, responseStarted, served bool
+	// requestPending is set while data has been read since the last write; clientClosed is set once the client has
+	// closed its side.
+	requestPending, clientClosed bool
+	// lastUsed is when the connection was accepted, or when data was last read or written.
+	lastUsed time.Time
+	// interrupted is set while the read in progress is being ended in order to close the connection.
+	interrupted bool
 }
 
 func (c *conn) setActive(active bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.active, c.answering, c.served = active, false, true
+	c.active, c.responseStarted, c.served = active, false, true
 }
 
-// endIfIdle has the connection ended if nothing was read from it that is not answered, and nothing came lately. The goroutine that reads from it
-// decides: what it has read by then, though nobody else can know of it yet, is answered.
-func (c *conn) endIfIdle() {
+// interruptIfIdle ends the read in progress, and with it the connection, if all data that was read is answered and
+// nothing was received or sent for minIdle. The goroutine that reads from the connection makes the decision: a request
+// that it has read by then is answered, even if no other goroutine can know of it yet.
+func (c *conn) interruptIfIdle() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.active || c.asked || time.Since(c.used) < quietLeast {
+	if c.active || c.requestPending || time.Since(c.lastUsed) < minIdle {
 		return
 	}
-	c.ending = true
-	// A connection that takes no deadline is closed already.
+	c.interrupted = true
+	// A connection that rejects the deadline is closed already.
 	_ = c.Conn.SetReadDeadline(time.Now())
 }
 
-// hasInput tells whether bytes have come over a connection that were not read yet. Of connections that are not the system's it can't tell.
+// hasInput reports whether a connection has received data that was not read yet. It returns false for connections
+// without a file descriptor.
 func hasInput(connection net.Conn) bool {
 	found := false
 	control(connection, func(descriptor int) {
@@ -221,74 +231,76 @@
 	return found
 }
 
-// isReadable tells whether connections wait at a listener to be accepted. Of listeners that are not the system's it can't tell.
+// isReadable reports whether connections wait at a listener to be accepted. It returns false for listeners without a
+// file descriptor.
 func isReadable(listener net.Listener) bool {
 	found := false
 	control(listener, func(descriptor int) {
-		waiting := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLIN}}
-		n, err := unix.Poll(waiting, 0)
-		found = n > 0 && err == nil && waiting[0].Revents&unix.POLLIN != 0
+		fds := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLIN}}
+		n, err := unix.Poll(fds, 0)
+		found = n > 0 && err == nil && fds[0].Revents&unix.POLLIN != 0
 	})
 	return found
 }
 
-// control looks at the descriptor of a socket, if it is one of the system's and open.
-func control(socket any, look func(descriptor int)) {
+// control calls inspect with the file descriptor of a socket, if it has one and is open.
+func control(socket any, inspect func(descriptor int)) {
 	system, ok := socket.(syscall.Conn)
 	if !ok {
 		return
 	}
-	raw, err := system.SyscallConn()
+	rawConn, err := system.SyscallConn()
 	if err != nil {
 		return
 	}
-	// The error says that the socket is closed: then there is nothing to look at.
-	_ = raw.Control(func(descriptor uintptr) { look(int(descriptor)) })
+	// An error means that the socket is closed, so there is nothing to inspect.
+	_ = rawConn.Control(func(descriptor uintptr) { inspect(int(descriptor)) })
 }
 
-// Read reads what the client sends. It fails once the connection is to end and nothing has come; the server then closes it.
-func (c *conn) Read(into []byte) (int, error) {
+// Read reads what the client sends. It fails once the connection is to be closed and no data was received; the server
+// then closes it.
+func (c *conn) Read(buffer []byte) (int, error) {
 	for {
-		n, err := c.Conn.Read(into)
-		if !c.goesOn(n, err) {
+		n, err := c.Conn.Read(buffer)
+		if !c.continueRead(n, err) {
 			return n, err
 		}
 	}
 }
 
-// goesOn takes the result of a read, and tells whether to read on: between two requests the read was ended, by endIfIdle or for having been idle
-// too long, and the next request has come.
-func (c *conn) goesOn(n int, err error) bool {
+// continueRead records the result of a read and reports whether to read again. It does so if, between two requests, the
+// read was ended by interruptIfIdle or by the server's idle timeout, and the next request has arrived since.
+func (c *conn) continueRead(n int, err error) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	between := !c.active && !c.asked && (c.served || c.ending)
+	betweenRequests := !c.active && !c.requestPending && (c.served || c.interrupted)
 	if n > 0 {
-		// What comes after the beginning of an answer is the rest of its request.
-		c.asked, c.used = c.asked || !c.answering, time.Now()
+		// Data that arrives after a response has begun is the rest of its request.
+		c.requestPending, c.lastUsed = c.requestPending || !c.responseStarted, time.Now()
 	}
-	c.left = c.left || n == 0 && err != nil && !byServer(err)
-	saved := between && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && hasInput(c.Conn)
-	if saved || c.ending && n > 0 {
-		// The request has the time that the server gives it from here on.
+	c.clientClosed = c.clientClosed || n == 0 && err != nil && !endedByServer(err)
+	retry := betweenRequests && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && hasInput(c.Conn)
+	if retry || c.interrupted && n > 0 {
+		// From here on the server's own timeout applies to the request.
 		_ = c.Conn.SetReadDeadline(time.Time{})
 	}
-	c.ending = false
-	return saved
+	c.interrupted = false
+	return retry
 }
 
-// Write writes an answer.
+// Write writes a part of a response.
 func (c *conn) Write(content []byte) (int, error) {
 	n, err := c.Conn.Write(content)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if err == nil {
-		c.asked, c.answering = false, c.active
+		c.requestPending, c.responseStarted = false, c.active
 	}
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 	return n, err
 }
 
-// CloseWrite ends the server's side of the connection and leaves the client's open.
+// CloseWrite closes the server's side of the connection and leaves the client's open.
 func (c *conn) CloseWrite() error {
 	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return closer.CloseWrite()
@@ -296,14 +308,15 @@
 	return nil
 }
 
-// unanswered tells whether something was read from a client, who has not left, that no answer has begun to.
+// unanswered reports whether data was read to which no response has begun, and the client has not closed its side.
 func (c *conn) unanswered() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.asked && !c.left
+	return c.requestPending && !c.clientClosed
 }
 
-// byServer tells that the server itself ended a read: it closed the connection, or set a deadline to stop reading.
-func byServer(err error) bool {
+// endedByServer reports whether the server itself ended a read: it closed the connection, or set a deadline to stop
+// reading.
+func endedByServer(err error) bool {
 	return errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/internal/clientconn/clientconn_test.go
+++ b/internal/clientconn/clientconn_test.go
@@ -19,32 +19,32 @@
 
 const address = "10.0.0.1:80"
 
-// world is a server whose connections are tracked, and a host that calls it.
-type world struct {
+// testEnv is a server whose connections are tracked, and a simulated network with a host that calls it.
+type testEnv struct {
 	test    *testing.T
 	tracker Tracker
 	server  *http.Server
-	fabric  *simnet.Network
+	network *simnet.Network
 }
 
-func newWorld(t *testing.T, handler http.HandlerFunc) *world {
-	w := &world{test: t, fabric: simnet.New(simnet.Options{})}
-	listener, err := w.fabric.Host("10.0.0.1", "zone", "region").Listen(address)
+func newTestEnv(t *testing.T, handler http.HandlerFunc) *testEnv {
+	env := &testEnv{test: t, network: simnet.New(simnet.Options{})}
+	listener, err := env.network.Host("10.0.0.1", "zone", "region").Listen(address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.server = &http.Server{Handler: handler, ConnState: w.tracker.Observe}
-	go func() { _ = w.server.Serve(w.tracker.Listener(listener)) }()
-	t.Cleanup(func() { _ = w.server.Close() })
-	return w
+	env.server = &http.Server{Handler: handler, ConnState: env.tracker.Observe}
+	go func() { _ = env.server.Serve(env.tracker.Listener(listener)) }()
+	t.Cleanup(func() { _ = env.server.Close() })
+	return env
 }
 
-func (w *world) dial() net.Conn {
-	connection, err := w.fabric.Host("10.0.0.2", "zone", "region").DialContext(w.test.Context(), address)
+func (env *testEnv) dial() net.Conn {
+	connection, err := env.network.Host("10.0.0.2", "zone", "region").DialContext(env.test.Context(), address)
 	if err != nil {
-		w.test.Fatal(err)
+		env.test.Fatal(err)
 	}
-	w.test.Cleanup(func() { _ = connection.Close() })
+	env.test.Cleanup(func() { _ = connection.Close() })
 	return connection
 }
 
@@ -54,118 +54,121 @@
 	}
 }
 
-// answered tells whether a whole answer comes on a connection.
-func answered(connection net.Conn) bool {
-	answer, err := http.ReadResponse(bufio.NewReader(connection), nil)
+// receivesResponse reports whether a complete response is read from a connection.
+func receivesResponse(connection net.Conn) bool {
+	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	if err != nil {
 		return false
 	}
-	_, err = io.Copy(io.Discard, answer.Body)
+	_, err = io.Copy(io.Discard, response.Body)
 	return err == nil
 }
 
 const request = "GET / HTTP/1.1\r\nHost: server\r\n\r\n"
 
-// TestUnansweredRequestsAreCounted checks that a connection counts as ended without an answer only where a request was read from it and
-// the client had not left.
-func TestUnansweredRequestsAreCounted(t *testing.T) {
+// TestCountsUnansweredRequests checks that a connection counts as closed without a response only if a request was read
+// from it and its client had not closed it.
+func TestCountsUnansweredRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, func(http.ResponseWriter, *http.Request) { time.Sleep(time.Second) })
-		idle, leaving, cut := w.dial(), w.dial(), w.dial()
+		env := newTestEnv(t, func(http.ResponseWriter, *http.Request) { time.Sleep(time.Second) })
+		idle, closing, waiting := env.dial(), env.dial(), env.dial()
 		write(t, idle, request)
-		is.True(answered(idle))
-		write(t, leaving, request)
-		write(t, cut, request)
+		is.True(receivesResponse(idle))
+		write(t, closing, request)
+		write(t, waiting, request)
 		time.Sleep(time.Second / 2)
-		is.NoErr(leaving.Close())
+		is.NoErr(closing.Close())
 		time.Sleep(time.Second / 4)
-		is.Equal(w.tracker.Counts(), Counts{Open: 3, Unanswered: 1}) // the one whose client waits
-		is.NoErr(w.server.Close())
+		is.Equal(env.tracker.Counts(), Counts{Open: 3, Unanswered: 1}) // the one whose client still waits
+		is.NoErr(env.server.Close())
 		synctest.Wait()
 		time.Sleep(time.Second)
-		is.Equal(w.tracker.Counts(), Counts{Unanswered: 1})
+		is.Equal(env.tracker.Counts(), Counts{Unanswered: 1})
 	})
 }
 
-// TestEndClosesWhatIsQuiet checks that connections on which something is under way are left until it is answered, and that the rest is closed.
-func TestEndClosesWhatIsQuiet(t *testing.T) {
+// TestEndClosesIdleConnections checks that connections with a request in progress stay open until it is answered, and
+// that the others are closed.
+func TestEndClosesIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, func(writer http.ResponseWriter, _ *http.Request) {
+		env := newTestEnv(t, func(writer http.ResponseWriter, _ *http.Request) {
 			time.Sleep(time.Second)
 			writer.Header().Set("Connection", "close")
 		})
-		unused, asking, halfway := w.dial(), w.dial(), w.dial()
-		write(t, asking, request)
-		write(t, halfway, request[:20])
-		time.Sleep(10 * time.Millisecond) // both have come
+		unused, complete, partial := env.dial(), env.dial(), env.dial()
+		write(t, complete, request)
+		write(t, partial, request[:20])
+		time.Sleep(10 * time.Millisecond) // both have arrived
 		ended := make(chan error, 1)
-		go func() { ended <- w.tracker.End(t.Context()) }()
-		time.Sleep(quietLeast + endLook)
+		go func() { ended <- env.tracker.End(t.Context()) }()
+		time.Sleep(minIdle + idleCheckInterval)
 		_, err := unused.Read(make([]byte, 1))
 		is.Equal(err, io.EOF)
 		time.Sleep(time.Second / 2)
-		write(t, halfway, request[20:])
-		is.True(answered(asking))
-		is.True(answered(halfway))
+		write(t, partial, request[20:])
+		is.True(receivesResponse(complete))
+		is.True(receivesResponse(partial))
 		is.NoErr(<-ended)
-		is.Equal(w.tracker.Counts(), Counts{})
+		is.Equal(env.tracker.Counts(), Counts{})
 	})
 }
 
-// TestEndIsBounded checks that a request without an answer holds the end up no longer than it may.
-func TestEndIsBounded(t *testing.T) {
+// TestEndReturnsWhenContextEnds checks that a request without a response does not keep Await and End beyond the end of
+// their contexts.
+func TestEndReturnsWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, func(http.ResponseWriter, *http.Request) { time.Sleep(time.Minute) })
-		write(t, w.dial(), request)
+		env := newTestEnv(t, func(http.ResponseWriter, *http.Request) { time.Sleep(time.Minute) })
+		write(t, env.dial(), request)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		is.True(errors.Is(w.tracker.Await(ctx), context.DeadlineExceeded))
+		is.True(errors.Is(env.tracker.Await(ctx), context.DeadlineExceeded))
 		ctx, cancel = context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		is.True(errors.Is(w.tracker.End(ctx), context.DeadlineExceeded))
-		is.NoErr(w.server.Close())
+		is.True(errors.Is(env.tracker.End(ctx), context.DeadlineExceeded))
+		is.NoErr(env.server.Close())
 		time.Sleep(time.Minute)
-		is.NoErr(w.tracker.Await(t.Context()))
+		is.NoErr(env.tracker.Await(t.Context()))
 	})
 }
 
-// TestWhatHasComeIsNotClosedUnread checks that a connection with a request that the process has not got to is not taken for idle.
-func TestWhatHasComeIsNotClosedUnread(t *testing.T) {
+// TestPendingRequestIsNotClosedAsIdle checks that a connection is not considered idle if it has received a request that
+// the process has not read yet.
+func TestPendingRequestIsNotClosedAsIdle(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
-	defer listener.Close() //nolint:errcheck // nothing comes over it
+	defer listener.Close() //nolint:errcheck // no data is lost
 	client, err := net.Dial("tcp4", listener.Addr().String())
 	is.NoErr(err)
-	defer client.Close() //nolint:errcheck // nothing comes over it
+	defer client.Close() //nolint:errcheck // no data is lost
 	var tracker Tracker
 	accepted, err := tracker.Listener(listener).Accept()
 	is.NoErr(err)
 	connection := accepted.(*conn)
-	quiet := func() { connection.used = time.Time{} }
-	quiet()
+	makeIdle := func() { connection.lastUsed = time.Time{} }
+	makeIdle()
 	write(t, client, request)
 	for !hasInput(connection.Conn) {
 		runtime.Gosched()
 	}
-	is.Equal(tracker.endIdle(), 1)
+	is.Equal(tracker.interruptIdle(), 1)
 	n, err := connection.Read(make([]byte, len(request)))
-	is.NoErr(err) // it has come, though nobody had read it
+	is.NoErr(err) // it had arrived, though not been read
 	is.Equal(n, len(request))
-	quiet()
-	is.Equal(tracker.endIdle(), 1)
-	is.True(!connection.ending) // it was read and is not answered
+	makeIdle()
+	is.Equal(tracker.interruptIdle(), 1)
+	is.True(!connection.interrupted) // the request was read and is not answered
 	_, err = connection.Write([]byte("answer"))
 	is.NoErr(err)
-	is.Equal(tracker.endIdle(), 1)
-	is.True(!connection.ending) // it was used just now
-	quiet()
-	is.Equal(tracker.endIdle(), 1)
+	is.Equal(tracker.interruptIdle(), 1)
+	is.True(!connection.interrupted) // the connection was just used
+	makeIdle()
+	is.Equal(tracker.interruptIdle(), 1)
 	_, err = connection.Read(make([]byte, 1))
-	is.True(errors.Is(err, os.ErrDeadlineExceeded)) // nothing has come
+	is.True(errors.Is(err, os.ErrDeadlineExceeded)) // no data arrived
 	write(t, client, request)
 	for !hasInput(connection.Conn) {
 		runtime.Gosched()
@@ -174,6 +177,6 @@
 	tracker.Observe(connection, http.StateIdle)
 	is.NoErr(connection.SetReadDeadline(time.Now()))
 	n, err = connection.Read(make([]byte, len(request)))
-	is.NoErr(err) // it came as the server's time for idle connections was over
+	is.NoErr(err) // the request arrived when the server's idle timeout expired
 	is.Equal(n, len(request))
 }
--- a/internal/clientconn/ending.go
+++ b/internal/clientconn/ending.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// Ending has each answer end its connection while a stop is under way, also where its request came before: otherwise the connection would be
-// closed under the client without a word when it may send its next request. Before that, answers tell for how many whole seconds an idle
-// connection may be used again, if there are any: a client that minds it never sends a request that crosses the close of its
-// connection, where a stop waits longer than that before it closes what is idle.
-func Ending(next http.Handler, isStopping func() bool, keep time.Duration) http.Handler {
+// Ending returns a handler whose responses close their connections while a stop is in progress, including responses to
+// requests that arrived before. Otherwise the connection would be closed without notice at a moment when the client may
+// send its next request. Before a stop, responses announce how long an idle connection may be reused (Keep-Alive:
+// timeout, in whole seconds), if idleTimeout is at least 1 s. A client that respects this never sends a request while the
+// server closes the connection, provided that a stop waits longer than that before it closes idle connections.
+func Ending(next http.Handler, isStopping func() bool, idleTimeout time.Duration) http.Handler {
 	keepAlive := ""
-	if seconds := int64(keep / time.Second); seconds > 0 {
+	if seconds := int64(idleTimeout / time.Second); seconds > 0 {
 		keepAlive = "timeout=" + strconv.FormatInt(seconds, 10)
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answer := &endingWriter{ResponseWriter: w, isStopping: isStopping, keepAlive: keepAlive}
-		next.ServeHTTP(answer, r)
-		answer.begin()
+		writer := &endingWriter{ResponseWriter: w, isStopping: isStopping, keepAlive: keepAlive}
+		next.ServeHTTP(writer, r)
+		writer.start()
 	})
 }
 
-// endingWriter decides with the head of an answer whether it ends the connection.
+// endingWriter decides when the header of a response is written whether the response closes the connection.
 type endingWriter struct {
 	http.ResponseWriter
 	isStopping func() bool
 	keepAlive  string
-	begun      bool
+	started    bool
 }
 
-func (e *endingWriter) begin() {
-	if e.begun {
+func (e *endingWriter) start() {
+	if e.started {
 		return
 	}
-	e.begun = true
+	e.started = true
 	switch {
 	case e.isStopping():
 		e.Header().Set("Connection", "close")
@@ -43,24 +44,24 @@
 	}
 }
 
-// WriteHeader writes the head.
+// WriteHeader writes the header.
 func (e *endingWriter) WriteHeader(status int) {
 	if status >= http.StatusOK {
-		e.begin()
+		e.start()
 	}
 	e.ResponseWriter.WriteHeader(status)
 }
 
-// Write writes a part of the body, with the head before it.
+// Write writes a part of the body, after the header.
 func (e *endingWriter) Write(content []byte) (int, error) {
-	e.begin()
+	e.start()
 	return e.ResponseWriter.Write(content)
 }
 
-// Flush sends what was written.
+// Flush sends the data written so far.
 func (e *endingWriter) Flush() {
-	e.begin()
-	// A writer that can't flush sends with the end of the answer.
+	e.start()
+	// A writer that can't flush sends the data at the end of the response.
 	_ = http.NewResponseController(e.ResponseWriter).Flush()
 }
 
--- a/internal/clientconn/ending_test.go
+++ b/internal/clientconn/ending_test.go
@@ -10,11 +10,12 @@
 	"github.com/matryer/is"
 )
 
-// TestAnswersOfAStopEndTheirConnections checks that an answer decides as it is written whether it ends its connection, however it begins.
-func TestAnswersOfAStopEndTheirConnections(t *testing.T) {
+// TestResponsesDuringStopCloseConnections checks that a response decides whether it closes its connection when it is
+// first written, whichever call writes it first.
+func TestResponsesDuringStopCloseConnections(t *testing.T) {
 	is := is.New(t)
 	var stopping atomic.Bool
-	begin := map[string]func(w http.ResponseWriter){
+	firstWrites := map[string]func(w http.ResponseWriter){
 		"head":  func(w http.ResponseWriter) { w.WriteHeader(http.StatusNotFound) },
 		"body":  func(w http.ResponseWriter) { _, _ = w.Write([]byte("answer")) },
 		"flush": func(w http.ResponseWriter) { is.NoErr(http.NewResponseController(w).Flush()) },
@@ -23,29 +24,29 @@
 			w.WriteHeader(http.StatusOK)
 		},
 	}
-	for name, answer := range begin {
-		for _, orderedMeanwhile := range []bool{false, true} {
+	for name, firstWrite := range firstWrites {
+		for _, stopMeanwhile := range []bool{false, true} {
 			stopping.Store(false)
 			recorder := httptest.NewRecorder()
 			Ending(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				stopping.Store(orderedMeanwhile)
-				answer(w)
+				stopping.Store(stopMeanwhile)
+				firstWrite(w)
 			}), stopping.Load, 3200*time.Millisecond).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/", nil))
-			if got := recorder.Header().Get("Connection") == "close"; got != orderedMeanwhile {
-				t.Errorf("%s: ends its connection: %v", name, got)
+			if got := recorder.Header().Get("Connection") == "close"; got != stopMeanwhile {
+				t.Errorf("%s: response closes its connection: %v", name, got)
 			}
-			if got := recorder.Header().Get("Keep-Alive") == "timeout=3"; got == orderedMeanwhile {
-				t.Errorf("%s: tells how long its connection may be used: %v", name, got)
+			if got := recorder.Header().Get("Keep-Alive") == "timeout=3"; got == stopMeanwhile {
+				t.Errorf("%s: response announces the idle timeout: %v", name, got)
 			}
 		}
 	}
 }
 
-// TestAnAnswerWithoutBodyEndsItsConnection checks an answer that its handler leaves to the server to begin.
-func TestAnAnswerWithoutBodyEndsItsConnection(t *testing.T) {
+// TestEmptyResponseClosesConnection checks a response that the handler leaves entirely to the server.
+func TestEmptyResponseClosesConnection(t *testing.T) {
 	is := is.New(t)
 	recorder := httptest.NewRecorder()
-	nothing := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
-	Ending(nothing, func() bool { return true }, 0).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/", nil))
+	emptyHandler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
+	Ending(emptyHandler, func() bool { return true }, 0).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/", nil))
 	is.Equal(recorder.Header().Get("Connection"), "close")
 }
