--- a/internal/clientconn/clientconn.go
+++ b/internal/clientconn/clientconn.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	// idleCheckInterval is how often End checks for connections that have become idle.
+	// idleCheckInterval is how often CloseIdle checks for connections that have become idle.
 	idleCheckInterval = 10 * time.Millisecond
 	// minIdle is how long nothing must have been received on a connection before it is considered idle. The first
 	// request of a new connection, and the rest of a request that is being sent, arrive within a round trip: 40 ms
@@ -137,8 +137,8 @@
 	t.changed.Notify()
 }
 
-// Await waits until no connection is open. It returns the context's error if the context ends first.
-func (t *Tracker) Await(ctx context.Context) error {
+// WaitClosed waits until no connection is open. It returns the context's error if the context ends first.
+func (t *Tracker) WaitClosed(ctx context.Context) error {
 	for {
 		t.mutex.Lock()
 		open, changed := len(t.open), t.changed.Changed()
@@ -154,9 +154,9 @@
 	}
 }
 
-// End closes connections as they become idle, and returns once none is open. It returns the context's error if the
-// context ends first.
-func (t *Tracker) End(ctx context.Context) error {
+// CloseIdle closes connections as they become idle, and returns once none is open. It returns the context's error if
+// the context ends first.
+func (t *Tracker) CloseIdle(ctx context.Context) error {
 	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/clientconn/clientconn_test.go
+++ b/internal/clientconn/clientconn_test.go
@@ -102,7 +102,7 @@
 		write(t, partial, request[:20])
 		time.Sleep(10 * time.Millisecond) // both have arrived
 		ended := make(chan error, 1)
-		go func() { ended <- env.tracker.End(t.Context()) }()
+		go func() { ended <- env.tracker.CloseIdle(t.Context()) }()
 		time.Sleep(minIdle + idleCheckInterval)
 		_, err := unused.Read(make([]byte, 1))
 		is.Equal(err, io.EOF)
@@ -115,8 +115,8 @@
 	})
 }
 
-// TestEndReturnsWhenContextEnds checks that a request without a response does not keep Await and End beyond the end of
-// their contexts.
+// TestEndReturnsWhenContextEnds checks that a request without a response does not keep WaitClosed and CloseIdle beyond
+// the end of their contexts.
 func TestEndReturnsWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -124,13 +124,13 @@
 		write(t, env.dial(), request)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		is.True(errors.Is(env.tracker.Await(ctx), context.DeadlineExceeded))
+		is.True(errors.Is(env.tracker.WaitClosed(ctx), context.DeadlineExceeded))
 		ctx, cancel = context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		is.True(errors.Is(env.tracker.End(ctx), context.DeadlineExceeded))
+		is.True(errors.Is(env.tracker.CloseIdle(ctx), context.DeadlineExceeded))
 		is.NoErr(env.server.Close())
 		time.Sleep(time.Minute)
-		is.NoErr(env.tracker.Await(t.Context()))
+		is.NoErr(env.tracker.WaitClosed(t.Context()))
 	})
 }
 
--- a/internal/clientconn/ending.go
+++ b/internal/clientconn/ending.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// Ending returns a handler whose responses close their connections while a stop is in progress, including responses to
-// requests that arrived before. Otherwise the connection would be closed without notice at a moment when the client may
-// send its next request. Before a stop, responses announce how long an idle connection may be reused (Keep-Alive:
-// timeout, in whole seconds), if idleTimeout is at least 1 s. A client that respects this never sends a request while the
-// server closes the connection, provided that a stop waits longer than that before it closes idle connections.
-func Ending(next http.Handler, isStopping func() bool, idleTimeout time.Duration) http.Handler {
+// CloseWhileStopping returns a handler whose responses close their connections while a stop is in progress, including
+// responses to requests that arrived before. Otherwise the connection would be closed without notice at a moment when
+// the client may send its next request. Before a stop, responses announce how long an idle connection may be reused
+// (Keep-Alive: timeout, in whole seconds), if idleTimeout is at least 1 s. A client that respects this never sends a
+// request while the server closes the connection, provided that a stop waits longer than that before it closes idle
+// connections.
+func CloseWhileStopping(next http.Handler, isStopping func() bool, idleTimeout time.Duration) http.Handler {
 	keepAlive := ""
 	if seconds := int64(idleTimeout / time.Second); seconds > 0 {
 		keepAlive = "timeout=" + strconv.FormatInt(seconds, 10)
--- a/internal/clientconn/ending_test.go
+++ b/internal/clientconn/ending_test.go
@@ -28,7 +28,7 @@
 		for _, stopMeanwhile := range []bool{false, true} {
 			stopping.Store(false)
 			recorder := httptest.NewRecorder()
-			Ending(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			CloseWhileStopping(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				stopping.Store(stopMeanwhile)
 				firstWrite(w)
 			}), stopping.Load, 3200*time.Millisecond).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/", nil))
@@ -47,6 +47,6 @@
 	is := is.New(t)
 	recorder := httptest.NewRecorder()
 	emptyHandler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
-	Ending(emptyHandler, func() bool { return true }, 0).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/", nil))
+	CloseWhileStopping(emptyHandler, func() bool { return true }, 0).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/", nil))
 	is.Equal(recorder.Header().Get("Connection"), "close")
 }
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -104,7 +104,7 @@
 	last := t.last()
 	t.allowed = opened
 	if last.Machine != "" && last.Machine != t.config.Machine {
-		t.allowed = opened.Add(fencing.TurnAfter(t.config.Lease))
+		t.allowed = opened.Add(fencing.SuccessorDelay(t.config.Lease))
 	}
 	t.config.Logger.Info("duty taken over", "duty", duty.Name(), "partition", t.partition, "token", t.Token(), "last_machine", last.Machine,
 		"last_token", last.Epoch, "wait", time.Until(t.allowed).Round(time.Millisecond))
@@ -134,7 +134,7 @@
 // recover reads the newest record of each key, all that lie below end among them. It returns false if the context ended.
 func (t *Tenure) recover(ctx context.Context, end int64) bool {
 	for {
-		err := follow.NewestBelow(ctx, t.config.Log, t.partition, end, t)
+		err := follow.NewestCovering(ctx, t.config.Log, t.partition, end, t)
 		if err == nil {
 			return true
 		}
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -125,7 +125,7 @@
 			if !pause.For(ctx, time.Duration(c.random.Int63n(int64(longest)))) {
 				return
 			}
-			if !window.Over() {
+			if !window.Ended() {
 				c.party.take(c.machine, tenure.Token())
 			}
 		}
@@ -295,7 +295,7 @@
 func (a *announcer) Perform(ctx context.Context, tenure *duty.Tenure) {
 	a.began = time.Now()
 	if window, err := tenure.Announce(ctx, "key", nil); err == nil {
-		a.until <- window.Until()
+		a.until <- window.End()
 	}
 	<-ctx.Done()
 }
--- a/internal/enginelist/enginelist_test.go
+++ b/internal/enginelist/enginelist_test.go
@@ -50,7 +50,7 @@
 	reader := enginelist.NewReader(list, partition.Number, whole, logger)
 	config := follow.Config{Log: store.For(name), Partition: partition, Wait: time.Second, Logger: logger, Applier: reader}
 	if !whole {
-		config.Sample = enginelist.HashKey(name)
+		config.SampleAfterKey = enginelist.HashKey(name)
 	}
 	if change != nil {
 		change(&config)
--- a/internal/enginelist/keeper.go
+++ b/internal/enginelist/keeper.go
@@ -88,7 +88,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	return follow.Confirm(ctx, k.config.Log, keyedlog.Partition{Topic: keyedlog.TopicEngineList, Number: number}, follower)
+	return follow.WaitUntilCurrent(ctx, k.config.Log, keyedlog.Partition{Topic: keyedlog.TopicEngineList, Number: number}, follower)
 }
 
 // write appends records. A partition that can't be written holds up none of the others.
--- a/internal/engineview/reader.go
+++ b/internal/engineview/reader.go
@@ -73,7 +73,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	follower := follow.New(follow.Config{
-		Log: r.config.Log, Partition: keyedlog.EngineViews, Applier: r, Wait: readWait, Spacing: readSpacing, Logger: r.config.Logger,
+		Log: r.config.Log, Partition: keyedlog.EngineViews, Applier: r, Wait: readWait, MinReadInterval: readSpacing, Logger: r.config.Logger,
 	})
 	ended := make(chan struct{})
 	go func() {
--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -67,9 +67,9 @@
 	leaseSlack = 300 * time.Millisecond
 )
 
-// TurnAfter returns how long after the last announcement of another owner a successor may make calls itself, where
+// SuccessorDelay returns how long after the last announcement of another owner a successor may make calls itself, where
 // calls of two owners must be at least a lease apart.
-func TurnAfter(lease time.Duration) time.Duration {
+func SuccessorDelay(lease time.Duration) time.Duration {
 	return SendWindow + lease + leaseSlack
 }
 
--- a/internal/fencing/window.go
+++ b/internal/fencing/window.go
@@ -32,17 +32,17 @@
 	return w.start.Age()
 }
 
-// Until returns when the window ends by the monotonic clock, assuming no further suspension.
-func (w Window) Until() time.Time {
+// End returns when the window ends by the monotonic clock, assuming no further suspension.
+func (w Window) End() time.Time {
 	return w.start.At().Add(SendWindow)
 }
 
-// Over reports whether the window has ended, so that no call may be sent any more.
-func (w Window) Over() bool {
+// Ended reports whether the window has ended, so that no call may be sent any more.
+func (w Window) Ended() bool {
 	return w.Age() >= SendWindow
 }
 
 // Context returns a context for the call. It ends with the window, or at once if the window is over.
 func (w Window) Context(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithDeadline(ctx, w.Until())
+	return context.WithDeadline(ctx, w.End())
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -52,31 +52,32 @@
 	// read; empty for all keys. If it is set, WaitFor waits for the records that the partition held when the newest
 	// records were requested, not for later ones.
 	Prefix string
-	// After is a key: only newest records of keys that sort after it are read; empty for all.
-	After string
-	// Sample is for a process that needs only some of the keys: of the newest records it reads one page that begins
-	// after this key, and if that page reaches the last key, also the first page of the partition; empty to read all.
-	// Later records are all read as they are appended.
-	Sample string
+	// AfterKey is a key: only newest records of keys that sort after it are read; empty for all.
+	AfterKey string
+	// SampleAfterKey is for a process that needs only some of the keys: of the newest records it reads one page that
+	// begins after this key, and if that page reaches the last key, also the first page of the partition; empty to read
+	// all. Later records are all read as they are appended.
+	SampleAfterKey string
 	// NewestOnly reports that only the newest record of each key matters: after a disconnection from the store the
 	// follower need not read all records that it has missed.
 	NewestOnly bool
-	// Bytes is the approximate maximum size of one read, 0 for the store's own limit.
-	Bytes int
+	// MaxReadBytes is the approximate maximum size of one read, 0 for the store's own limit.
+	MaxReadBytes int
 	// Wait is how long the store may hold a read open.
 	Wait time.Duration
-	// Spacing is the minimum time between two reads that returned records, so that records appended in quick succession
-	// are read together.
-	Spacing time.Duration
+	// MinReadInterval is the minimum time between two reads that returned records, so that records appended in quick
+	// succession are read together.
+	MinReadInterval time.Duration
 	// Busy reports whether this process acts on each record at once; nil means always. While it returns false,
-	// IdleSpacing is used instead of Spacing. A caller that waits for records, or Hurry, ends an idle pause early.
-	Busy        func() bool
-	IdleSpacing time.Duration
-	// IdleSpread is the maximum random delay of the first read of a process that is not busy. When all processes start
-	// at the same time, those that act on the records catch up sooner. Like the idle pause, the delay ends early when a
-	// caller waits for records or calls Hurry.
-	IdleSpread time.Duration
-	Logger     *log.Logger
+	// IdleReadInterval is used instead of MinReadInterval. A caller that waits for records, or Hurry, ends an idle
+	// pause early.
+	Busy             func() bool
+	IdleReadInterval time.Duration
+	// MaxIdleStartDelay is the maximum random delay of the first read of a process that is not busy. When all processes
+	// start at the same time, those that act on the records catch up sooner. Like the idle pause, the delay ends early
+	// when a caller waits for records or calls Hurry.
+	MaxIdleStartDelay time.Duration
+	Logger            *log.Logger
 }
 
 // Follower follows one partition.
@@ -121,8 +122,8 @@
 // Run follows the partition until the context ends. It may be called again after it has returned, and then resumes at
 // the same offset.
 func (f *Follower) Run(ctx context.Context) {
-	if f.idle() && f.config.IdleSpread > 0 {
-		f.waitIdle(ctx, rand.N(f.config.IdleSpread))
+	if f.idle() && f.config.MaxIdleStartDelay > 0 {
+		f.waitIdle(ctx, rand.N(f.config.MaxIdleStartDelay))
 	}
 	failures := 0
 	for ctx.Err() == nil {
@@ -142,7 +143,7 @@
 	if !f.tailing {
 		return f.catchUp(ctx)
 	}
-	span := keyedlog.Span{From: f.nextOffset, Wait: f.config.Wait, Bytes: f.config.Bytes}
+	span := keyedlog.Span{From: f.nextOffset, Wait: f.config.Wait, Bytes: f.config.MaxReadBytes}
 	if !f.inSync() {
 		// Don't wait for new records: the answer shows at once whether the process has caught up, or that the store is
 		// available again.
@@ -187,10 +188,10 @@
 // early if a caller waits for records.
 func (f *Follower) waitInterval(ctx context.Context) {
 	if f.idle() {
-		f.waitIdle(ctx, f.config.IdleSpacing)
+		f.waitIdle(ctx, f.config.IdleReadInterval)
 		return
 	}
-	pause.For(ctx, f.config.Spacing)
+	pause.For(ctx, f.config.MinReadInterval)
 }
 
 // idle reports whether this process does not need to act on each record at once.
@@ -221,11 +222,11 @@
 // dropped, and are applied as removed. After a failure, the next call resumes at the page that failed.
 func (f *Follower) catchUp(ctx context.Context) error {
 	if f.pager == nil {
-		f.pager, f.seenKeys = newPager(f.config.Log, f.config.Partition, f.config.Prefix, f.config.After), make(map[string]bool)
+		f.pager, f.seenKeys = newPager(f.config.Log, f.config.Partition, f.config.Prefix, f.config.AfterKey), make(map[string]bool)
 	}
 	read := f.pager.read
-	if f.config.Sample != "" {
-		f.pager.afterKey = f.config.Sample
+	if f.config.SampleAfterKey != "" {
+		f.pager.afterKey = f.config.SampleAfterKey
 		read = f.pager.sample
 	}
 	err := read(ctx, func(record keyedlog.Record) {
@@ -241,7 +242,7 @@
 		return errStale
 	}
 	for key, offset := range f.offsets {
-		if !seenKeys[key] && offset < pageEnd && strings.HasPrefix(key, f.config.Prefix) && key > f.config.After {
+		if !seenKeys[key] && offset < pageEnd && strings.HasPrefix(key, f.config.Prefix) && key > f.config.AfterKey {
 			f.apply(keyedlog.Record{Offset: pageEnd - 1, Key: key}, true)
 		}
 	}
@@ -313,9 +314,10 @@
 	return moment.Age().Round(time.Millisecond).String()
 }
 
-// Returned returns when the store last answered again after failed calls. While the store is unavailable, and until the
-// records of its first answer have been applied, it returns the current time; the zero time if no call has failed.
-func (f *Follower) Returned() time.Time {
+// ReconnectedAt returns when the store last answered again after failed calls. While the store is unavailable, and
+// until the records of its first answer have been applied, it returns the current time; the zero time if no call has
+// failed.
+func (f *Follower) ReconnectedAt() time.Time {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.contacted && !f.connected {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -187,7 +187,7 @@
 				})
 				follower := startFollowerWith(t, store, newState(), func(config *follow.Config) {
 					config.Busy = func() bool { return busy }
-					config.IdleSpacing = spacing
+					config.IdleReadInterval = spacing
 				})
 				for i := range records {
 					put(t, store, fmt.Sprint("key", i), "1")
@@ -220,7 +220,7 @@
 			for range processes {
 				followers = append(followers, startFollowerWith(t, store, newState(), func(config *follow.Config) {
 					config.Busy = func() bool { return busy }
-					config.IdleSpread = spread
+					config.MaxIdleStartDelay = spread
 				}))
 			}
 			return followers
--- a/internal/follow/span.go
+++ b/internal/follow/span.go
@@ -14,7 +14,7 @@
 func Range(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, from, to int64, size int, applier Applier) error {
 	err := applyRange(ctx, log, partition, from, to, size, applier)
 	if errors.Is(err, keyedlog.ErrTrimmed) {
-		return NewestOf(ctx, log, partition, "", applier)
+		return NewestWithPrefix(ctx, log, partition, "", applier)
 	}
 	return err
 }
@@ -39,9 +39,9 @@
 	return nil
 }
 
-// NewestBelow applies the newest record of each key of a partition. It fails with errStale, and applies nothing, if the
-// store's answer does not cover all records below the offset.
-func NewestBelow(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, end int64, applier Applier) error {
+// NewestCovering applies the newest record of each key of a partition. It fails with errStale, and applies nothing, if
+// the store's answer does not cover all records below the offset.
+func NewestCovering(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, end int64, applier Applier) error {
 	var records []keyedlog.Record
 	newestEnd, err := readNewest(ctx, log, partition, "", func(record keyedlog.Record) { records = append(records, record) })
 	if err != nil {
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// NewestOf applies the newest record of each key of a partition that begins with a prefix.
-func NewestOf(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, prefix string, applier Applier) error {
+// NewestWithPrefix applies the newest record of each key of a partition that begins with a prefix.
+func NewestWithPrefix(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, prefix string, applier Applier) error {
 	_, err := readNewest(ctx, log, partition, prefix, func(record keyedlog.Record) { applier.Apply(record, true) })
 	return err
 }
@@ -153,8 +153,8 @@
 	WaitFor(ctx context.Context, end int64) error
 }
 
-// Confirm waits until a reader has read all records that the partition holds now.
-func Confirm(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, reader Reader) error {
+// WaitUntilCurrent waits until a reader has read all records that the partition holds now.
+func WaitUntilCurrent(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, reader Reader) error {
 	page, err := log.Newest(ctx, partition, lastKey)
 	if err != nil {
 		return err
@@ -166,13 +166,13 @@
 // of its throughput.
 const concurrentReads = 4
 
-// RangeTogether applies the records of a range as Range does, in order, but reads several parts of the range
+// RangeConcurrently applies the records of a range as Range does, in order, but reads several parts of the range
 // concurrently and buffers them until they are applied. If the store has dropped records, the newest records are read
 // once for all parts.
-func RangeTogether(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, from, to int64, applier Applier) error {
+func RangeConcurrently(ctx context.Context, log keyedlog.Log, partition keyedlog.Partition, from, to int64, applier Applier) error {
 	err := applyRangeConcurrently(ctx, log, partition, from, to, applier)
 	if errors.Is(err, keyedlog.ErrTrimmed) {
-		return NewestOf(ctx, log, partition, "", applier)
+		return NewestWithPrefix(ctx, log, partition, "", applier)
 	}
 	return err
 }
--- a/internal/follow/span_test.go
+++ b/internal/follow/span_test.go
@@ -45,7 +45,7 @@
 				applied := new(offsetRecorder)
 				started := time.Now()
 				log := smallBatchLog{store.For("node")}
-				is.NoErr(follow.RangeTogether(t.Context(), log, partition, bounds[0], bounds[1], applied))
+				is.NoErr(follow.RangeConcurrently(t.Context(), log, partition, bounds[0], bounds[1], applied))
 				count := int(bounds[1] - bounds[0])
 				is.Equal(len(applied.offsets), count)
 				for i, offset := range applied.offsets {
@@ -74,11 +74,11 @@
 			}
 			return memorylog.None
 		})
-		is.True(follow.RangeTogether(t.Context(), store.For("node"), partition, 0, 40, new(offsetRecorder)) != nil)
+		is.True(follow.RangeConcurrently(t.Context(), store.For("node"), partition, 0, 40, new(offsetRecorder)) != nil)
 		store.Heal()
 		store.Forget()
 		trimmed := new(offsetRecorder)
-		is.NoErr(follow.RangeTogether(t.Context(), store.For("node"), partition, 0, 40, trimmed))
+		is.NoErr(follow.RangeConcurrently(t.Context(), store.For("node"), partition, 0, 40, trimmed))
 		is.True(len(trimmed.offsets) >= 40)
 	})
 }
@@ -104,7 +104,7 @@
 			}
 			store.Forget()
 			read := new(keyRecorder)
-			is.NoErr(follow.NewestOf(t.Context(), store.For("test"), partition, test.prefix, read))
+			is.NoErr(follow.NewestWithPrefix(t.Context(), store.For("test"), partition, test.prefix, read))
 			is.Equal([]string(*read), test.want)
 		})
 	}
@@ -136,7 +136,7 @@
 		return memorylog.None
 	})
 	read := new(keyRecorder)
-	is.NoErr(follow.RangeTogether(t.Context(), store.For("test"), partition, 0, end, read))
+	is.NoErr(follow.RangeConcurrently(t.Context(), store.For("test"), partition, 0, end, read))
 	is.Equal(len(*read), records)
 	is.Equal(pages.Load(), int32(records/perPage))
 }
--- a/internal/jobrun/partition.go
+++ b/internal/jobrun/partition.go
@@ -35,7 +35,7 @@
 // index had its end, and can settle none any more.
 func (r *runner) confirmIndex(ctx context.Context) bool {
 	for {
-		err := follow.Confirm(ctx, r.config.Log, keyedlog.JobIndex, r.config.IndexFollower)
+		err := follow.WaitUntilCurrent(ctx, r.config.Log, keyedlog.JobIndex, r.config.IndexFollower)
 		if err == nil || ctx.Err() != nil {
 			return err == nil
 		}
@@ -51,12 +51,12 @@
 func (r *runner) follow(ctx context.Context, end int64) *follow.Follower {
 	r.covered = r.config.Index.Start(r.partition.Number, end)
 	from := end
-	if err := follow.RangeTogether(ctx, r.config.Log, r.partition, r.covered, end, applier{r}); err != nil {
+	if err := follow.RangeConcurrently(ctx, r.config.Log, r.partition, r.covered, end, applier{r}); err != nil {
 		errorlog.Debug(r.config.Logger, "partition not read at once", err, "partition", r.partition, "from", r.covered, "end", end)
 		from = r.covered
 	}
 	return follow.New(follow.Config{
-		Log: r.config.Log, Partition: r.partition, Applier: applier{r}, From: from, Wait: followWait, Spacing: followSpacing,
+		Log: r.config.Log, Partition: r.partition, Applier: applier{r}, From: from, Wait: followWait, MinReadInterval: followSpacing,
 		Logger: r.config.Logger,
 	})
 }
--- a/internal/jobrun/place.go
+++ b/internal/jobrun/place.go
@@ -56,7 +56,7 @@
 	confirmCtx, cancel := context.WithTimeout(ctx, catalogTimeout)
 	defer cancel()
 	operator := keyedlog.Partition{Topic: keyedlog.TopicOperator}
-	err := follow.Confirm(confirmCtx, e.runner.config.Log, operator, e.runner.config.CatalogFollower)
+	err := follow.WaitUntilCurrent(confirmCtx, e.runner.config.Log, operator, e.runner.config.CatalogFollower)
 	if err != nil {
 		errorlog.Debug(e.runner.config.Logger, "catalog not confirmed", err, "job", e.view.Spec.ID, "item", e.item.ID)
 		pause.For(ctx, retryMost)
--- a/internal/jobs/item.go
+++ b/internal/jobs/item.go
@@ -49,7 +49,7 @@
 		return follow.Range(ctx, s.config.Log, partitionOf(entry), entry.Offset, entry.Next, entry.Bytes, applier)
 	}
 	for _, prefix := range job.SubmissionPrefixes(entry.JobID) {
-		if err := follow.NewestOf(ctx, s.config.Log, partitionOf(entry), prefix, applier); err != nil {
+		if err := follow.NewestWithPrefix(ctx, s.config.Log, partitionOf(entry), prefix, applier); err != nil {
 			return err
 		}
 	}
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -276,7 +276,7 @@
 func (s *Service) confirm(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	return follow.Confirm(ctx, s.config.Log, keyedlog.JobIndex, s.config.IndexFollower)
+	return follow.WaitUntilCurrent(ctx, s.config.Log, keyedlog.JobIndex, s.config.IndexFollower)
 }
 
 // Listing is a part of a job's results.
--- a/internal/jobs/reader.go
+++ b/internal/jobs/reader.go
@@ -125,8 +125,8 @@
 		entry: status.Entry, base: from, ledger: ledger, read: read, asked: time.Now(),
 		complete: make(chan struct{}), ended: make(chan struct{}),
 		follower: follow.New(follow.Config{
-			Log: read, Partition: partitionOf(status.Entry), From: startOf(status, from), Wait: readWait, Spacing: readSpacing,
-			Bytes: size, Prefix: job.ResultPrefix(id), After: job.ResultsFrom(id, from),
+			Log: read, Partition: partitionOf(status.Entry), From: startOf(status, from), Wait: readWait, MinReadInterval: readSpacing,
+			MaxReadBytes: size, Prefix: job.ResultPrefix(id), AfterKey: job.ResultsFrom(id, from),
 			Applier: &jobApplier{id: id, ledger: ledger, wanted: job.IsResult, failed: func(record keyedlog.Record, err error) {
 				errorlog.Warn(s.config.Logger, "result skipped", err, "job", id, "key", record.Key)
 			}},
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -17,8 +17,8 @@
 	_ = n.listeners.api.Close()
 	lameDuck, cancel := context.WithTimeout(ctx, lameDuckPeriod)
 	defer cancel()
-	if n.connections.Await(lameDuck) == nil {
+	if n.connections.WaitClosed(lameDuck) == nil {
 		return nil
 	}
-	return n.connections.End(ctx)
+	return n.connections.CloseIdle(ctx)
 }
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -20,7 +20,7 @@
 func TestAnswersOfAStoppingNodeEndTheirConnections(t *testing.T) {
 	is := is.New(t)
 	var stopping atomic.Bool
-	handler := clientconn.Ending(http.NotFoundHandler(), stopping.Load, 0)
+	handler := clientconn.CloseWhileStopping(http.NotFoundHandler(), stopping.Load, 0)
 	answer := func() string {
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/", nil))
@@ -37,7 +37,7 @@
 	is.New(t).NoErr(err)
 	n := &Node{listeners: listeners{api: listener}}
 	n.apiServer = &http.Server{
-		Handler: clientconn.Ending(http.NotFoundHandler(), n.stopping.Load, 0), ReadHeaderTimeout: readHeaderTimeout, ConnState: n.connections.Observe,
+		Handler: clientconn.CloseWhileStopping(http.NotFoundHandler(), n.stopping.Load, 0), ReadHeaderTimeout: readHeaderTimeout, ConnState: n.connections.Observe,
 	}
 	t.Cleanup(func() { _ = n.apiServer.Close() })
 	go func() { _ = n.apiServer.Serve(n.connections.Listener(listener)) }()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -192,7 +192,7 @@
 	n.register()
 	n.registerMetrics()
 	n.apiServer = &http.Server{
-		Handler:           clientconn.Ending(n.gateway.Handler(), n.stopping.Load, 0),
+		Handler:           clientconn.CloseWhileStopping(n.gateway.Handler(), n.stopping.Load, 0),
 		ReadHeaderTimeout: readHeaderTimeout,
 		ConnState:         n.connections.Observe,
 	}
--- a/internal/replica/engines.go
+++ b/internal/replica/engines.go
@@ -170,7 +170,7 @@
 	r.whenever(ctx, r.acts, func(ctx context.Context) {
 		applier := &engineApplier{decoder: r.config.Decoder, directory: r.directory, list: r.list, logger: r.config.Logger}
 		follower := r.follow(keyedlog.Partition{Topic: keyedlog.TopicEngines}, applier)
-		applier.returned = follower.Returned
+		applier.returned = follower.ReconnectedAt
 		follower.Run(ctx)
 		applier.end()
 		r.list.OwnUnread()
@@ -240,7 +240,7 @@
 			defer reader.Close()
 			config := r.followConfig(partition, reader)
 			if !whole {
-				config.Sample = enginelist.HashKey(holderName(r.config.Settings))
+				config.SampleAfterKey = enginelist.HashKey(holderName(r.config.Settings))
 			}
 			follower := follow.New(config)
 			reader.Attach(follower)
--- a/internal/replica/hurrying_test.go
+++ b/internal/replica/hurrying_test.go
@@ -31,7 +31,7 @@
 		store := memorylog.New(memorylog.Config{Partitions: 1})
 		orders := follow.New(follow.Config{
 			Log: store.For("node"), Partition: keyedlog.Partition{Topic: keyedlog.TopicWeights},
-			Applier: &weightApplier{logger: log.New(io.Discard)}, Busy: func() bool { return false }, IdleSpread: time.Hour,
+			Applier: &weightApplier{logger: log.New(io.Discard)}, Busy: func() bool { return false }, MaxIdleStartDelay: time.Hour,
 			Wait: time.Second, Logger: log.New(io.Discard),
 		})
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/replica/records_test.go
+++ b/internal/replica/records_test.go
@@ -44,7 +44,7 @@
 		follower := follow.New(follow.Config{
 			Log: store.For("replica"), Partition: partition, Applier: engines, Wait: time.Second, Logger: logger,
 		})
-		engines.returned = follower.Returned
+		engines.returned = follower.ReconnectedAt
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -209,7 +209,7 @@
 func (r *Replica) followConfig(partition keyedlog.Partition, applier follow.Applier) follow.Config {
 	return follow.Config{
 		Log: r.config.Log, Partition: partition, Applier: applier, Wait: waits[partition.Topic],
-		Spacing: spacings[partition.Topic], NewestOnly: partition.Topic == keyedlog.TopicOperator, Busy: r.busy(partition.Topic), IdleSpacing: idleSpacing, IdleSpread: idleSpread,
+		MinReadInterval: spacings[partition.Topic], NewestOnly: partition.Topic == keyedlog.TopicOperator, Busy: r.busy(partition.Topic), IdleReadInterval: idleSpacing, MaxIdleStartDelay: idleSpread,
 		Logger: r.config.Logger,
 	}
 }
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -125,7 +125,7 @@
 	partition := keyedlog.Partition{Topic: keyedlog.TopicUsage, Number: number}
 	return follow.New(follow.Config{
 		Log: r.config.Log, Partition: partition, Applier: &applier{tally: tally, partition: partition, logger: r.config.Logger},
-		Wait: followWait, Spacing: followSpacing, Logger: r.config.Logger,
+		Wait: followWait, MinReadInterval: followSpacing, Logger: r.config.Logger,
 	})
 }
 
--- a/internal/weightroll/roller.go
+++ b/internal/weightroll/roller.go
@@ -272,7 +272,7 @@
 	if !ordered || last.Epoch == r.writer.Epoch() || last.Holder == r.config.Node {
 		return time.Time{}
 	}
-	return last.announcedBy.Add(fencing.TurnAfter(r.config.Lease))
+	return last.announcedBy.Add(fencing.SuccessorDelay(r.config.Lease))
 }
 
 // carryOut brings one engine to a version. under is how many loads of the pool are under way, this one included.
--- a/internal/weightroll/roller_test.go
+++ b/internal/weightroll/roller_test.go
@@ -229,7 +229,7 @@
 				next.own(map[string]int64{"a": 1, "b": 2}[name])
 				time.Sleep(lease)
 				is.Equal(slices.Min(w.versions()) == 3, name == "a")
-				time.Sleep(fencing.TurnAfter(0) + 2*loadTime)
+				time.Sleep(fencing.SuccessorDelay(0) + 2*loadTime)
 				is.Equal(slices.Min(w.versions()), int64(3))
 				judgeOrders(t, w.engines.Orders())
 				next.release()
@@ -315,7 +315,7 @@
 		time.Sleep(2 * lease)
 		old := 0
 		for _, order := range w.engines.Orders()[len(before):] {
-			if newest.Sub(before[order.Engine]) < fencing.TurnAfter(lease) {
+			if newest.Sub(before[order.Engine]) < fencing.SuccessorDelay(lease) {
 				continue
 			}
 			old++
