--- a/internal/clientconn/clientconn.go
+++ b/internal/clientconn/clientconn.go
@@ -26,7 +26,7 @@
 const (
 	// idleCheckInterval is how often CloseIdle checks for connections that have become idle.
 	idleCheckInterval = 10 * time.Millisecond
-	// minIdle is how long nothing must have been received on a connection before it is considered idle. The first
+	// minIdle is how long no data must have been transferred on a connection before it is considered idle. The first
 	// request of a new connection, and the rest of a request that is being sent, arrive within a round trip: 40 ms
 	// between distant regions, plus the time for which a peer waits for a CPU.
 	minIdle = 100 * time.Millisecond
--- a/internal/clientconn/clientconn_test.go
+++ b/internal/clientconn/clientconn_test.go
@@ -88,9 +88,9 @@
 	})
 }
 
-// TestEndClosesIdleConnections checks that connections with a request in progress stay open until it is answered, and
-// that the others are closed.
-func TestEndClosesIdleConnections(t *testing.T) {
+// TestCloseIdleKeepsActiveConnections checks that connections with a request in progress stay open until it is
+// answered, and that the others are closed.
+func TestCloseIdleKeepsActiveConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		env := newTestEnv(t, func(writer http.ResponseWriter, _ *http.Request) {
@@ -115,9 +115,9 @@
 	})
 }
 
-// TestEndReturnsWhenContextEnds checks that a request without a response does not keep WaitClosed and CloseIdle beyond
-// the end of their contexts.
-func TestEndReturnsWhenContextEnds(t *testing.T) {
+// TestCloseIdleReturnsWhenContextEnds checks that a request without a response does not keep WaitClosed and CloseIdle
+// beyond the end of their contexts.
+func TestCloseIdleReturnsWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		env := newTestEnv(t, func(http.ResponseWriter, *http.Request) { time.Sleep(time.Minute) })
--- a/internal/fencing/fencing.go
+++ b/internal/fencing/fencing.go
@@ -83,7 +83,7 @@
 //
 // Open writes a record, because the store checks sequence numbers of appends only. A process that is restarted in the
 // same generation first tries the epoch of the previous process. That epoch's sequence continues from a different
-// number, so the store rejects the append, and Open tries higher epochs up to the first one of the next generation.
+// number, so the store rejects the append, and Open tries higher epochs, all below those of the next generation.
 func (w *Writer) Open(ctx context.Context) (int64, error) {
 	w.sequence = rand.Int64N(initialSequences)
 	for restart := int64(0); restart < 1<<restartBits; {
