--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -106,7 +106,7 @@
 	last := t.lastAnnouncement()
 	t.allowedFrom = opened
 	if last.Machine != "" && last.Machine != t.config.Machine {
-		t.allowedFrom = opened.Add(fencing.TurnAfter(t.config.Lease))
+		t.allowedFrom = opened.Add(fencing.SuccessorDelay(t.config.Lease))
 	}
 	t.config.Logger.Info("duty taken over", "duty", duty.Name(), "partition", t.partition, "token", t.Token(), "last_machine", last.Machine,
 		"last_token", last.Epoch, "wait", time.Until(t.allowedFrom).Round(time.Millisecond))
@@ -136,7 +136,7 @@
 // recover reads the newest record of each key, including all that lie below end. It returns false if the context ended.
 func (t *Tenure) recover(ctx context.Context, end int64) bool {
 	for {
-		err := follow.NewestBelow(ctx, t.config.Log, t.partition, end, t)
+		err := follow.NewestCovering(ctx, t.config.Log, t.partition, end, t)
 		if err == nil {
 			return true
 		}
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -126,7 +126,7 @@
 			if !pause.For(ctx, time.Duration(c.random.Int63n(int64(maxPause)))) {
 				return
 			}
-			if !window.Over() {
+			if !window.Ended() {
 				c.callee.receive(c.machine, tenure.Token())
 			}
 		}
@@ -298,7 +298,7 @@
 func (a *announcer) Perform(ctx context.Context, tenure *duty.Tenure) {
 	a.began = time.Now()
 	if window, err := tenure.Announce(ctx, "key", nil); err == nil {
-		a.validUntil <- window.Until()
+		a.validUntil <- window.End()
 	}
 	<-ctx.Done()
 }
--- a/internal/jobrun/partition.go
+++ b/internal/jobrun/partition.go
@@ -35,7 +35,7 @@
 // jobs that earlier owners settled: they wrote these before the epoch was set and can settle no job afterwards.
 func (r *runner) confirmIndex(ctx context.Context) bool {
 	for {
-		err := follow.Confirm(ctx, r.config.Log, keyedlog.JobIndex, r.config.IndexFollower)
+		err := follow.WaitUntilCurrent(ctx, r.config.Log, keyedlog.JobIndex, r.config.IndexFollower)
 		if err == nil || ctx.Err() != nil {
 			return err == nil
 		}
@@ -52,12 +52,12 @@
 func (r *runner) follow(ctx context.Context, end int64) *follow.Follower {
 	r.readFrom = r.config.Index.StartOffset(r.partition.Number, end)
 	from := end
-	if err := follow.RangeTogether(ctx, r.config.Log, r.partition, r.readFrom, end, applier{r}); err != nil {
+	if err := follow.RangeConcurrently(ctx, r.config.Log, r.partition, r.readFrom, end, applier{r}); err != nil {
 		errorlog.Debug(r.config.Logger, "parallel read failed, reading sequentially", err, "partition", r.partition, "from", r.readFrom, "end", end)
 		from = r.readFrom
 	}
 	return follow.New(follow.Config{
-		Log: r.config.Log, Partition: r.partition, Applier: applier{r}, From: from, Wait: followReadWait, Spacing: minFollowInterval,
+		Log: r.config.Log, Partition: r.partition, Applier: applier{r}, From: from, Wait: followReadWait, MinReadInterval: minFollowInterval,
 		Logger: r.config.Logger,
 	})
 }
--- a/internal/jobrun/place.go
+++ b/internal/jobrun/place.go
@@ -58,7 +58,7 @@
 	confirmCtx, cancel := context.WithTimeout(ctx, catalogTimeout)
 	defer cancel()
 	operator := keyedlog.Partition{Topic: keyedlog.TopicOperator}
-	err := follow.Confirm(confirmCtx, e.runner.config.Log, operator, e.runner.config.CatalogFollower)
+	err := follow.WaitUntilCurrent(confirmCtx, e.runner.config.Log, operator, e.runner.config.CatalogFollower)
 	if err != nil {
 		errorlog.Debug(e.runner.config.Logger, "cannot confirm the catalog, retrying", err, "job", e.view.Spec.ID, "item", e.item.ID)
 		pause.For(ctx, maxRetryBackoff)
--- a/internal/jobs/reader.go
+++ b/internal/jobs/reader.go
@@ -127,8 +127,8 @@
 		entry: status.Entry, base: from, ledger: ledger, readLog: readLog, lastCall: time.Now(),
 		complete: make(chan struct{}), stopped: make(chan struct{}),
 		follower: follow.New(follow.Config{
-			Log: readLog, Partition: partitionOf(status.Entry), From: startOffset(status, from), Wait: longPollTimeout, Spacing: minReadInterval,
-			Bytes: size, Prefix: job.ResultPrefix(id), After: job.ResultsAfterKey(id, from),
+			Log: readLog, Partition: partitionOf(status.Entry), From: startOffset(status, from), Wait: longPollTimeout, MinReadInterval: minReadInterval,
+			MaxReadBytes: size, Prefix: job.ResultPrefix(id), AfterKey: job.ResultsAfterKey(id, from),
 			Applier: &jobApplier{id: id, ledger: ledger, matches: job.IsResultKey, onError: func(record keyedlog.Record, err error) {
 				errorlog.Warn(s.config.Logger, "result skipped", err, "job", id, "key", record.Key)
 			}},
--- a/internal/replica/engines.go
+++ b/internal/replica/engines.go
@@ -172,7 +172,7 @@
 	r.runWhenWanted(ctx, r.actsOnEngines, func(ctx context.Context) {
 		applier := &engineApplier{decoder: r.config.Decoder, directory: r.directory, list: r.list, logger: r.config.Logger}
 		follower := r.follow(keyedlog.Partition{Topic: keyedlog.TopicEngines}, applier)
-		applier.returned = follower.Returned
+		applier.returned = follower.ReconnectedAt
 		follower.Run(ctx)
 		applier.stop()
 		r.list.ForgetOwnRecords()
@@ -242,7 +242,7 @@
 			defer reader.Close()
 			config := r.followConfig(partition, reader)
 			if !whole {
-				config.Sample = enginelist.HashKey(memberName(r.config.Settings))
+				config.SampleAfterKey = enginelist.HashKey(memberName(r.config.Settings))
 			}
 			follower := follow.New(config)
 			reader.Attach(follower)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -212,7 +212,7 @@
 func (r *Replica) followConfig(partition keyedlog.Partition, applier follow.Applier) follow.Config {
 	return follow.Config{
 		Log: r.config.Log, Partition: partition, Applier: applier, Wait: readWaits[partition.Topic],
-		Spacing: readSpacings[partition.Topic], NewestOnly: partition.Topic == keyedlog.TopicOperator, Busy: r.busy(partition.Topic), IdleSpacing: idleSpacing, IdleSpread: idleSpread,
+		MinReadInterval: readSpacings[partition.Topic], NewestOnly: partition.Topic == keyedlog.TopicOperator, Busy: r.busy(partition.Topic), IdleReadInterval: idleSpacing, MaxIdleStartDelay: idleSpread,
 		Logger: r.config.Logger,
 	}
 }
--- a/internal/weightroll/roller.go
+++ b/internal/weightroll/roller.go
@@ -276,7 +276,7 @@
 	if !ordered || lastOrder.Epoch == r.writer.Epoch() || lastOrder.Holder == r.config.Node {
 		return time.Time{}
 	}
-	return lastOrder.announcedBefore.Add(fencing.TurnAfter(r.config.Lease))
+	return lastOrder.announcedBefore.Add(fencing.SuccessorDelay(r.config.Lease))
 }
 
 // runStep brings one engine to a version. concurrent is the number of loads in progress in the pool, this one included.
--- a/internal/weightroll/roller_test.go
+++ b/internal/weightroll/roller_test.go
@@ -230,7 +230,7 @@
 				next.becomeOwner(map[string]int64{"a": 1, "b": 2}[name])
 				time.Sleep(lease)
 				is.Equal(slices.Min(env.versions()) == 3, name == "a")
-				time.Sleep(fencing.TurnAfter(0) + 2*loadTime)
+				time.Sleep(fencing.SuccessorDelay(0) + 2*loadTime)
 				is.Equal(slices.Min(env.versions()), int64(3))
 				checkOrders(t, env.engines.Orders())
 				next.release()
@@ -318,7 +318,7 @@
 		time.Sleep(2 * lease)
 		expired := 0
 		for _, order := range env.engines.Orders()[len(before):] {
-			if newest.Sub(before[order.Engine]) < fencing.TurnAfter(lease) {
+			if newest.Sub(before[order.Engine]) < fencing.SuccessorDelay(lease) {
 				continue
 			}
 			expired++
