--- a/internal/requestledger/execute.go
+++ b/internal/requestledger/execute.go
@@ -15,32 +15,32 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// errUnreadable says that a record that was written cannot be read back.
+// errUnreadable is returned for a record that was appended but cannot be decoded when it is folded.
 var errUnreadable = errors.New("the record cannot be read back")
 
-// executeOnce is the drive of an unsafe request.
-func (s *Service) executeOnce(request peerapi.Execute) drive {
-	patience := patienceOf(&request, time.Now())
+// executeOnce returns the function that executes an unsafe request.
+func (s *Service) executeOnce(request peerapi.Execute) runFunc {
+	deadline := callerDeadlineOf(&request, time.Now())
 	return func(ctx context.Context, run *run) (result, error) {
 		owner, err := s.open(ctx, run)
 		if err != nil {
 			return result{}, err
 		}
-		how, started, err := s.start(ctx, owner, run)
+		final, started, err := s.start(ctx, owner, run)
 		if !started || err != nil {
-			return how, err
+			return final, err
 		}
-		return s.recordFinish(ctx, owner, run, s.dispatch(ctx, run, request, patience))
+		return s.recordFinish(ctx, owner, run, s.dispatch(ctx, run, request, deadline))
 	}
 }
 
-// start writes a Start unless the log already tells how the ask ended. started says that the Start is valid and that the
-// request must now be dispatched.
-func (s *Service) start(ctx context.Context, owner shard.Owner, run *run) (how result, started bool, err error) {
+// start appends a Start record unless the log already holds the result of the ask. started reports that the Start is
+// valid and that the request must now be dispatched.
+func (s *Service) start(ctx context.Context, owner shard.Owner, run *run) (recorded result, started bool, err error) {
 	for {
-		how, known, err := s.recorded(ctx, owner, run)
+		final, known, err := s.recordedResult(ctx, owner, run)
 		if known || err != nil {
-			return how, false, err
+			return final, false, err
 		}
 		s.failpoint(BeforeStart)
 		if s.config.Mutations.Has(mutation.NoStartRecord) {
@@ -49,22 +49,22 @@
 		body := startRecord{run.key.workload, run.key.requestID, run.ask, run.digest, time.Now().UnixMilli()}
 		verdict, err := appendRecord(ctx, owner, kindStart, &body)
 		if err != nil {
-			return result{}, false, s.startFailed(owner, run, err)
+			return result{}, false, s.startError(owner, run, err)
 		}
 		switch verdict {
 		case VerdictApplied:
 			s.failpoint(AfterStart)
 			return result{}, true, nil
 		case VerdictFull:
-			return result{}, false, full()
+			return result{}, false, shardFullError()
 		case VerdictUnreadable:
 			return result{}, false, &peer.Error{Code: peer.CodeInternal, Message: "the Start could not be read back"}
 		}
-		// Another record came first; what it says is now in the state.
+		// Another record was folded first; the next lookup sees its effect.
 	}
 }
 
-func full() *peer.Error {
+func shardFullError() *peer.Error {
 	return &peer.Error{
 		Code:       peer.CodeOverloaded,
 		Message:    "the shard of the request ledger holds as many requests as it may",
@@ -72,46 +72,46 @@
 	}
 }
 
-// startFailed turns the error of a Start into an answer. A Start that may be in the log is remembered as never
-// dispatched, so that a later ask can be told so.
-func (s *Service) startFailed(owner shard.Owner, run *run, err error) error {
+// startError converts the error of appending a Start into the error for the caller. A Start whose append is uncertain
+// is remembered as never dispatched, so that a later ask can be answered as not run.
+func (s *Service) startError(owner shard.Owner, run *run, err error) error {
 	if errors.Is(err, shard.ErrNotOwner) {
-		return notOwner()
+		return notOwnerError()
 	}
 	s.mu.Lock()
 	if len(s.undispatched) >= maxRuns {
-		clear(s.undispatched) // those forgotten are answered as unknown
+		clear(s.undispatched) // entries dropped here are answered as unknown
 	}
 	s.undispatched[startID{run.key, run.ask, owner.Epoch()}] = struct{}{}
 	s.mu.Unlock()
-	return uncertain("the log could not be asked whether the request was recorded")
+	return uncertainError("the log could not be asked whether the request was recorded")
 }
 
-func notOwner() *peer.Error {
+func notOwnerError() *peer.Error {
 	return &peer.Error{Code: peer.CodeNotOwner, Message: "the shard of the request is owned elsewhere"}
 }
 
-// dispatch gives the started request to an engine. Another engine is tried under the same Start only after a refusal that
-// proves that no engine was given the request, so at most one engine ever runs it.
-func (s *Service) dispatch(ctx context.Context, run *run, request peerapi.Execute, patience patience) result {
+// dispatch sends a started request to an engine. It tries another engine under the same Start only after a rejection
+// that proves that no engine received the request, so at most one engine ever runs it.
+func (s *Service) dispatch(ctx context.Context, run *run, request peerapi.Execute, deadline callerDeadline) result {
 	var excluded []string
 	last := answer.Ending{Kind: answer.EndNotRun, Reason: "the deadline passed before an engine was asked"}
 	for attempt := uint32(1); attempt <= maxDispatches && ctx.Err() == nil; attempt++ {
 		request.RequestID = dispatchID(run)
 		request.Attempt = attempt
 		request.TimeoutMillis = remainingMillis(ctx)
-		request.QueueMillis = patience.queueMillis()
-		engine, ending, how := s.attempt(ctx, request, excluded)
+		request.QueueMillis = deadline.queueMillis()
+		engine, ending, final := s.attempt(ctx, request, excluded)
 		if ending.Kind == answer.EndBroken && s.config.Mutations.Has(mutation.NotRunWithoutProof) {
 			return result{outcome: peerapi.OutcomeNotRun, reason: ending.Reason}
 		}
 		retry := ending.Kind == answer.EndBroken && s.config.Mutations.Has(mutation.RetryUnsafe)
 		if ending.Kind != answer.EndNotRun && !retry {
-			return how
+			return final
 		}
 		last = ending
 		s.failpoint(AfterNotRun)
-		if engine == "" || !patience.allowsRetry() {
+		if engine == "" || !deadline.allowsRetry() {
 			break
 		}
 		excluded = append(excluded, engine)
@@ -123,34 +123,36 @@
 	}
 }
 
-// dispatchID names a run to the engine; it differs between the asks of one key and between the keys of workloads.
+// dispatchID returns the request id that is sent to the engine. It differs between the asks of one key and between the
+// keys of different workloads.
 func dispatchID(run *run) string {
 	return fmt.Sprintf("unsafe/%s/%s/%016x", run.key.workload, run.key.requestID, run.ask)
 }
 
-// patience is until when the caller of a request waits for its answer; zero when that is unbounded.
-type patience struct{ until time.Time }
+// callerDeadline is the time until which the caller waits for its answer; zero means without limit.
+type callerDeadline struct{ until time.Time }
 
-func patienceOf(request *peerapi.Execute, now time.Time) patience {
+func callerDeadlineOf(request *peerapi.Execute, now time.Time) callerDeadline {
 	if request.TimeoutMillis <= 0 {
-		return patience{}
+		return callerDeadline{}
 	}
-	return patience{now.Add(time.Duration(request.TimeoutMillis) * time.Millisecond)}
+	return callerDeadline{now.Add(time.Duration(request.TimeoutMillis) * time.Millisecond)}
 }
 
-// queueMillis is how long an engine may let the request wait before it runs: the caller must still hear that it did not.
-func (p patience) queueMillis() int64 {
-	if p.until.IsZero() {
+// queueMillis returns how long, in milliseconds, an engine may queue the request before running it. It is shorter than
+// the caller's remaining time, so that the caller still receives the answer that the request did not run.
+func (d callerDeadline) queueMillis() int64 {
+	if d.until.IsZero() {
 		return 0
 	}
-	return max(1, answer.InnerTimeout(time.Until(p.until)).Milliseconds())
+	return max(1, answer.InnerTimeout(time.Until(d.until)).Milliseconds())
 }
 
-func (p patience) allowsRetry() bool {
-	return p.until.IsZero() || answer.AllowsRetry(time.Until(p.until))
+func (d callerDeadline) allowsRetry() bool {
+	return d.until.IsZero() || answer.AllowsRetry(time.Until(d.until))
 }
 
-// remainingMillis is the timeout that an engine's owner is told; 0 is none.
+// remainingMillis returns the timeout that is sent to an engine's owner, in milliseconds; 0 means none.
 func remainingMillis(ctx context.Context) int64 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -159,10 +161,10 @@
 	return max(1, answer.InnerTimeout(time.Until(deadline)).Milliseconds())
 }
 
-// attempt dispatches once and gathers the answer.
+// attempt dispatches the request once and collects the answer.
 func (s *Service) attempt(
 	ctx context.Context, request peerapi.Execute, excluded []string,
-) (engine string, ending answer.Ending, how result) {
+) (engine string, ending answer.Ending, final result) {
 	engine, stream, err := s.config.Dispatcher.Dispatch(ctx, request, excluded)
 	if err != nil {
 		ending = answer.FromError(err)
@@ -182,8 +184,9 @@
 	return engine, ending, resultOf(ending, gathered)
 }
 
-// recordFinish writes the end of a run. It is answered only once it is durable.
-func (s *Service) recordFinish(ctx context.Context, owner shard.Owner, run *run, how result) (result, error) {
+// recordFinish appends the Finish record of a run. The result is returned to the caller only after the record is
+// durable.
+func (s *Service) recordFinish(ctx context.Context, owner shard.Owner, run *run, final result) (result, error) {
 	s.failpoint(BeforeFinish)
 	settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
@@ -193,26 +196,26 @@
 		Workload:         run.key.workload,
 		RequestID:        run.key.requestID,
 		Ask:              run.ask,
-		Outcome:          how.outcome,
-		Reason:           how.reason,
-		RetryAfterMillis: how.retryAfterMillis,
-		Tokens:           how.tokens,
-		Spans:            how.spans,
+		Outcome:          final.outcome,
+		Reason:           final.reason,
+		RetryAfterMillis: final.retryAfterMillis,
+		Tokens:           final.tokens,
+		Spans:            final.spans,
 		AtUnixMillis:     time.Now().UnixMilli(),
 	}
 	err := appendUntilKnown(settle, owner, kindFinish, &body)
 	if errors.Is(err, shard.ErrNotOwner) {
-		return s.handIn(settle, owner.Epoch(), run, how), nil
+		return s.forwardResult(settle, owner.Epoch(), run, final), nil
 	}
 	if err != nil {
-		return result{}, uncertain("the end of the request could not be recorded")
+		return result{}, uncertainError("the end of the request could not be recorded")
 	}
 	s.failpoint(AfterFinish)
-	return how, nil
+	return final, nil
 }
 
-// appendUntilKnown repeats a Finish until it is known to be folded. A repeat changes nothing, for only the first Finish of
-// a Start is valid and only this run writes it.
+// appendUntilKnown retries appending a Finish until it is known to be folded. A repeated Finish has no effect, because
+// only the first Finish of a Start is valid and only this run writes it.
 func appendUntilKnown(ctx context.Context, owner shard.Owner, kind uint8, body peer.Message) error {
 	appendOnce := func() (Verdict, error) {
 		verdict, err := appendRecord(ctx, owner, kind, body)
@@ -239,7 +242,7 @@
 	}
 	verdict, ok := outcomes[0].(Verdict)
 	if !ok {
-		return 0, uncertain("the shard holds another kind of state")
+		return 0, uncertainError("the shard holds another kind of state")
 	}
 	return verdict, nil
 }
--- a/internal/requestledger/fake_test.go
+++ b/internal/requestledger/fake_test.go
@@ -14,26 +14,26 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// logFault is what becomes of one append.
+// logFault is the fault of one append.
 type logFault uint8
 
 const (
-	logFine logFault = iota
-	// logLostAnswer appends, but says that it does not know.
-	logLostAnswer
-	// logLostRequest does not append, and says that it does not know.
+	logOK logFault = iota
+	// logLostResponse appends the record but returns shard.ErrUncertain.
+	logLostResponse
+	// logLostRequest returns shard.ErrUncertain without appending the record.
 	logLostRequest
-	// logLate says that it does not know, and appends once landLate is called.
-	logLate
+	// logDelayed returns shard.ErrUncertain and appends the record when deliverDelayed is called.
+	logDelayed
 )
 
-// fakeLog is one shard's stream: records in order, and the epoch that may write.
+// fakeLog is the stream of one shard: its records in order, and the epoch that may write.
 type fakeLog struct {
 	mu      sync.Mutex
 	epoch   uint64
 	records []shard.Record
-	late    []shard.Record
-	// fault is asked for every append; nil is fine.
+	delayed []shard.Record
+	// fault returns the fault of each append; nil means none.
 	fault func(kind uint8) logFault
 }
 
@@ -44,23 +44,23 @@
 	return l.epoch
 }
 
-// write adds a record at the end; it needs the lock.
+// write appends a record. The caller must hold mu.
 func (l *fakeLog) write(record shard.Record) {
 	record.Offset = int64(len(l.records))
 	record.Sequence = uint64(len(l.records) + 1)
 	l.records = append(l.records, record)
 }
 
-// landLate appends what was held back, where its epoch still holds.
-func (l *fakeLog) landLate() {
+// deliverDelayed appends the delayed records whose epoch is still current.
+func (l *fakeLog) deliverDelayed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, record := range l.late {
+	for _, record := range l.delayed {
 		if record.Epoch == l.epoch {
 			l.write(record)
 		}
 	}
-	l.late = nil
+	l.delayed = nil
 }
 
 // fakeNode is a process that opens every shard over the same log.
@@ -73,7 +73,7 @@
 func (n *fakeNode) Open(context.Context, string) (shard.Owner, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.owner == nil || n.owner.knowsBetter() {
+	if n.owner == nil || n.owner.isSuperseded() {
 		n.owner = &fakeOwner{log: n.log, epoch: n.log.claim(), state: NewState()}
 		n.owner.fold()
 	}
@@ -87,14 +87,14 @@
 	mu     sync.Mutex
 	state  *State
 	folded int
-	// refused is set once the log has shown that another process owns the shard.
-	refused bool
+	// superseded is set once the log has shown that another process owns the shard.
+	superseded bool
 }
 
-func (o *fakeOwner) knowsBetter() bool {
+func (o *fakeOwner) isSuperseded() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.refused
+	return o.superseded
 }
 
 func (o *fakeOwner) fold() {
@@ -113,24 +113,24 @@
 	o.log.mu.Lock()
 	defer o.log.mu.Unlock()
 	if o.epoch != o.log.epoch {
-		o.refused = true
+		o.superseded = true
 		return nil, shard.ErrNotOwner
 	}
 	var outcomes []any
 	for _, proposal := range proposals {
 		record := shard.Record{Epoch: o.epoch, Kind: proposal.Kind, Body: proposal.Body}
-		fault := logFine
+		fault := logOK
 		if o.log.fault != nil {
 			fault = o.log.fault(proposal.Kind)
 		}
-		if fault == logLate {
-			o.log.late = append(o.log.late, record)
+		if fault == logDelayed {
+			o.log.delayed = append(o.log.delayed, record)
 		}
-		if fault == logLostRequest || fault == logLate {
+		if fault == logLostRequest || fault == logDelayed {
 			return nil, shard.ErrUncertain
 		}
 		o.log.write(record)
-		if fault == logLostAnswer {
+		if fault == logLostResponse {
 			return nil, shard.ErrUncertain
 		}
 		for ; o.folded < len(o.log.records); o.folded++ {
@@ -154,32 +154,32 @@
 func (o *fakeOwner) Done() <-chan struct{}         { return nil }
 func (o *fakeOwner) Release(context.Context) error { return nil }
 
-// dispatchFault is what becomes of one dispatch.
+// dispatchFault is the fault of one dispatch.
 type dispatchFault uint8
 
 const (
-	dispatchFine dispatchFault = iota
-	// dispatchRefused is proven not to have run.
+	dispatchOK dispatchFault = iota
+	// dispatchRefused is rejected by the engine: proven not to have run.
 	dispatchRefused
-	// dispatchNotSent is proven not to have run.
+	// dispatchNotSent never reaches the engine: proven not to have run.
 	dispatchNotSent
-	// dispatchLost runs, but contact is lost.
+	// dispatchLost runs, but the connection is lost before the first token.
 	dispatchLost
-	// dispatchBroken runs, and contact is lost after the first tokens.
+	// dispatchBroken runs, but the connection is lost after the first tokens.
 	dispatchBroken
-	// dispatchQueued waits in a queue until the timeout that the engine was told, and is proven not to have run.
+	// dispatchQueued stays in the engine's queue until the queue timeout of the request: proven not to have run.
 	dispatchQueued
 )
 
-// engineAnswer is what every engine answers.
+// engineAnswer is the answer of every engine.
 var engineAnswer = []uint32{7, 8, 9, 10}
 
-// fakeEngines is a Dispatcher that counts how often each run was given to an engine.
+// fakeEngines is a Dispatcher that counts how often each run was sent to an engine.
 type fakeEngines struct {
 	mu     sync.Mutex
 	starts map[string]int
 	fault  func() dispatchFault
-	// gate, if set, is received from before the last token of an answer.
+	// gate, if set, blocks an answer before its last tokens until a value is received or the channel is closed.
 	gate chan struct{}
 }
 
@@ -198,7 +198,7 @@
 ) (string, peer.ClientStream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	fault := dispatchFine
+	fault := dispatchOK
 	if e.fault != nil {
 		fault = e.fault()
 	}
@@ -221,7 +221,7 @@
 	return engine, &fakeAnswer{ctx: ctx, request: request, gate: e.gate, broken: fault == dispatchBroken}, nil
 }
 
-// fakeQueue refuses when the timeout has passed; the refusal takes a while to arrive.
+// fakeQueue is the stream of a queued request: it rejects the request 50 ms after the queue timeout has passed.
 type fakeQueue struct {
 	ctx     context.Context
 	timeout time.Duration
@@ -238,7 +238,7 @@
 
 func (q *fakeQueue) Close() error { return nil }
 
-// fakeAnswer sends two chunks and the end.
+// fakeAnswer is the stream of an answer: two chunks of tokens, then the outcome.
 type fakeAnswer struct {
 	ctx     context.Context
 	request peerapi.Execute
@@ -280,7 +280,7 @@
 
 func (a *fakeAnswer) Close() error { return nil }
 
-// fakeOwners hands answers in to the service that choose names.
+// fakeOwners passes each FinishRequest to the service that choose returns.
 type fakeOwners struct{ choose func() *Service }
 
 func (o fakeOwners) CallOwner(
@@ -309,11 +309,11 @@
 
 func (fakeBundles) Changed() <-chan struct{} { return nil }
 
-// ended is what an ask came to, as its caller sees it.
-type ended struct {
+// askResult is the result of an ask as its caller sees it.
+type askResult struct {
 	outcome peerapi.Outcome
 	tokens  []uint32
-	// code is that of a refusal, and refused tells that there was one.
+	// refused reports that the ask failed with an error, whose code is code.
 	refused bool
 	code    peer.Code
 }
@@ -324,7 +324,7 @@
 	}
 }
 
-// collector is the caller's end of a stream.
+// collector is the caller's side of a stream.
 type collector struct{ events []peerapi.ExecuteEvent }
 
 func (c *collector) Send(message peer.Message) error {
@@ -332,25 +332,25 @@
 	return nil
 }
 
-func refusedBy(err error) ended {
+func refusalOf(err error) askResult {
 	var refused *peer.Error
 	if errors.As(err, &refused) {
-		return ended{refused: true, code: refused.Code}
+		return askResult{refused: true, code: refused.Code}
 	}
-	return ended{refused: true, code: peer.CodeInternal}
+	return askResult{refused: true, code: peer.CodeInternal}
 }
 
-// execute asks a service to run a request, as the peer server would.
-func execute(ctx context.Context, service *Service, request peerapi.Execute) ended {
+// execute calls a service's Execute handler as the peer server would.
+func execute(ctx context.Context, service *Service, request peerapi.Execute) askResult {
 	var caller collector
 	decode := func(into peer.Message) error {
 		*into.(*peerapi.Execute) = request
 		return nil
 	}
 	if err := service.handleExecuteOnce(ctx, decode, &caller); err != nil {
-		return refusedBy(err)
+		return refusalOf(err)
 	}
-	var end ended
+	var end askResult
 	for _, event := range caller.events {
 		end.tokens = append(end.tokens, event.Tokens...)
 		end.outcome = event.Outcome
@@ -358,8 +358,8 @@
 	return end
 }
 
-// resolve asks a service what became of a request, as the peer server would.
-func resolve(ctx context.Context, service *Service, of peerapi.Execute) ended {
+// resolve calls a service's Resolve handler as the peer server would.
+func resolve(ctx context.Context, service *Service, of peerapi.Execute) askResult {
 	question := peerapi.Resolve{
 		Workload:   of.Workload,
 		RequestID:  of.RequestID,
@@ -373,8 +373,8 @@
 	}
 	message, err := service.handleResolve(ctx, decode)
 	if err != nil {
-		return refusedBy(err)
+		return refusalOf(err)
 	}
 	settled := message.(*peerapi.ResolveResult)
-	return ended{outcome: settled.Outcome, tokens: settled.Tokens}
+	return askResult{outcome: settled.Outcome, tokens: settled.Tokens}
 }
--- a/internal/requestledger/handlers.go
+++ b/internal/requestledger/handlers.go
@@ -13,7 +13,7 @@
 func (s *Service) handleExecuteOnce(ctx context.Context, decode peer.Decode, stream peer.ServerStream) error {
 	var request peerapi.Execute
 	if err := decode(&request); err != nil {
-		return invalid("request cannot be decoded")
+		return invalidError("request cannot be decoded")
 	}
 	workload, err := s.check(&request)
 	if err != nil {
@@ -28,22 +28,22 @@
 	return ended.result.send(request.RequestID, request.Attempt, stream)
 }
 
-// runBudget bounds a run. A caller that waits less than the workload allows does not cut its request off: it can ask again
-// for the answer, whereas a run that was cut off would stay unknown.
+// runBudget returns the maximum duration of a run. A caller whose timeout is shorter than the workload's does not cut
+// its request off: it can ask again for the answer, whereas a run that was cut off would stay unknown.
 func runBudget(workload *bundle.Workload, request *peerapi.Execute) time.Duration {
-	longest := time.Duration(workload.Limits.Timeout)
-	if longest <= 0 {
-		longest = defaultTimeout
+	limit := time.Duration(workload.Limits.Timeout)
+	if limit <= 0 {
+		limit = defaultTimeout
 	}
-	return max(longest, time.Duration(request.TimeoutMillis)*time.Millisecond)
+	return max(limit, time.Duration(request.TimeoutMillis)*time.Millisecond)
 }
 
 func (s *Service) check(request *peerapi.Execute) (*bundle.Workload, error) {
 	if request.RequestID == "" || len(request.RequestID) > MaxRequestIDBytes {
-		return nil, invalid(fmt.Sprintf("request id must have 1 to %d bytes", MaxRequestIDBytes))
+		return nil, invalidError(fmt.Sprintf("request id must have 1 to %d bytes", MaxRequestIDBytes))
 	}
 	if request.MaxTokens < 1 || request.MaxTokens > MaxRecordedTokens {
-		return nil, invalid(fmt.Sprintf("an unsafe request may ask for 1 to %d tokens", MaxRecordedTokens))
+		return nil, invalidError(fmt.Sprintf("an unsafe request may ask for 1 to %d tokens", MaxRecordedTokens))
 	}
 	accepted := s.config.Bundles.Current()
 	if accepted == nil {
@@ -56,14 +56,14 @@
 	return workload, nil
 }
 
-func invalid(message string) *peer.Error {
+func invalidError(message string) *peer.Error {
 	return &peer.Error{Code: peer.CodeInvalid, Message: message}
 }
 
 func (s *Service) handleResolve(ctx context.Context, decode peer.Decode) (peer.Message, error) {
 	var request peerapi.Resolve
 	if err := decode(&request); err != nil {
-		return nil, invalid("request cannot be decoded")
+		return nil, invalidError("request cannot be decoded")
 	}
 	budget := time.Duration(request.WaitMillis) * time.Millisecond
 	if budget <= 0 {
--- a/internal/requestledger/handover.go
+++ b/internal/requestledger/handover.go
@@ -8,11 +8,11 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// handoverRetryAfter is told to callers while a shard moves to another owner.
+// handoverRetryAfter is the retry delay sent to callers while a shard moves to another owner.
 const handoverRetryAfter = 100 * time.Millisecond
 
-// OnHandover settles the runs of a shard that is about to be released, and lets no new one begin in its epoch. A run that
-// was cut off would be answered as unknown. Streams of other kinds are ignored. It has the form of
+// OnHandover waits for the runs of a shard that is about to be released, and refuses new runs in its epoch. A run that
+// was cut off would be answered as unknown. Streams of other kinds are ignored. It has the signature of
 // shard.Config.OnHandover, and returns early when the context ends.
 func (s *Service) OnHandover(ctx context.Context, stream string) {
 	if _, _, ours := ParseStream(stream); !ours {
@@ -21,20 +21,20 @@
 	s.mu.Lock()
 	s.handedOver[stream] = s.epochs[stream]
 	s.mu.Unlock()
-	_ = s.wait(ctx, func(run *run) bool { return run.stream() == stream })
+	_ = s.waitForRuns(ctx, func(run *run) bool { return run.stream() == stream })
 }
 
-// Drain refuses new runs and waits until those under way have ended, or the context ends.
+// Drain refuses new runs and waits until all active ones have ended, or the context ends.
 func (s *Service) Drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
-	return s.wait(ctx, func(*run) bool { return true })
+	return s.waitForRuns(ctx, func(*run) bool { return true })
 }
 
-// wait returns when every run that is under way now, and is one of those, has ended.
-func (s *Service) wait(ctx context.Context, isOneOf func(*run) bool) error {
-	for _, run := range s.underWay(isOneOf) {
+// waitForRuns waits until every run that is active now and matches has ended.
+func (s *Service) waitForRuns(ctx context.Context, matches func(*run) bool) error {
+	for _, run := range s.activeRuns(matches) {
 		select {
 		case <-run.done:
 		case <-ctx.Done():
@@ -44,19 +44,19 @@
 	return nil
 }
 
-func (s *Service) underWay(isOneOf func(*run) bool) []*run {
+func (s *Service) activeRuns(matches func(*run) bool) []*run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []*run
 	for _, run := range s.runs {
-		if isOneOf(run) {
+		if matches(run) {
 			found = append(found, run)
 		}
 	}
 	return found
 }
 
-// open opens the shard of a run, unless its epoch is being given up.
+// open opens the shard of a run. It fails with peer.CodeNotReady if the shard's epoch is being handed over.
 func (s *Service) open(ctx context.Context, run *run) (shard.Owner, error) {
 	stream := run.stream()
 	owner, err := s.config.Opener.Open(ctx, stream)
--- a/internal/requestledger/linearizable_test.go
+++ b/internal/requestledger/linearizable_test.go
@@ -15,7 +15,7 @@
 	"github.com/hillfork/hillfork/internal/peerapi"
 )
 
-// keyState is the model of one key: whether it may have run, and the asks that were said not to have run.
+// keyState is the model of one key: whether it may have run, and the asks that were answered as not run.
 type keyState struct {
 	mayHaveRun bool
 	closed     string // one character for each ask
@@ -40,18 +40,18 @@
 	return state
 }
 
-// askInput is one ask; doubtful ends may have had any effect.
+// askInput is one operation of the history.
 type askInput struct {
 	ask     uint64
 	resolve bool
 }
 
-// keyModel tells which ends an ask may have in which state.
+// keyModel defines which results an ask may have in which state.
 var keyModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{keyState{}} },
 	Step: func(state, input, output any) []any {
 		var next []any
-		for _, following := range state.(keyState).after(input.(askInput), output.(ended)) {
+		for _, following := range state.(keyState).after(input.(askInput), output.(askResult)) {
 			next = append(next, following)
 		}
 		return next
@@ -59,8 +59,8 @@
 	Equal: func(a, b any) bool { return a.(keyState).equal(b.(keyState)) },
 }
 
-// after returns the states that may follow an ask which ended so; none when it may not have ended so.
-func (state keyState) after(input askInput, output ended) []keyState {
+// after returns the possible states after an ask with the given output; none if the output is impossible in this state.
+func (state keyState) after(input askInput, output askResult) []keyState {
 	ran := state
 	ran.mayHaveRun = true
 	closed := state.isClosed(input.ask)
@@ -99,53 +99,54 @@
 	historyAsks    = 4
 )
 
-// TestLinearizable lets clients ask for one key at several nodes that take the shard from each other, while the log and the
-// engines fail, and checks the recorded history against the model.
+// TestLinearizable has several clients ask for one key at nodes that take the shard over from each other, while the log
+// and the engines fail, and checks that the recorded history is linearizable and that at most one engine received the
+// request.
 func TestLinearizable(t *testing.T) {
 	outcomes := map[peerapi.Outcome]int{}
 	refused := 0
 	for seed := range uint64(historySeeds) {
 		synctest.Test(t, func(t *testing.T) {
-			history, starts := record(t, seed)
+			history, starts := recordHistory(t, seed)
 			if starts > 1 {
-				t.Errorf("seed %d: %d engines were given the request", seed, starts)
+				t.Errorf("seed %d: %d engines received the request", seed, starts)
 			}
 			for _, operation := range history {
-				output := operation.Output.(ended)
+				output := operation.Output.(askResult)
 				outcomes[output.outcome]++
 				if output.refused {
 					refused++
 				}
 			}
 			if !porcupine.CheckOperations(keyModel.ToModel(), history) {
-				t.Errorf("seed %d: history has no order: %v", seed, describe(history))
+				t.Errorf("seed %d: history is not linearizable: %v", seed, describe(history))
 			}
 		})
 	}
 	is := is.New(t)
 	t.Logf("ends: %v, refused or uncertain: %d", outcomes, refused)
-	const enough = historySeeds / 10 // of every end, for the check to mean something
-	is.True(outcomes[peerapi.OutcomeCompleted] > enough)
-	is.True(outcomes[peerapi.OutcomeNotRun] > enough)
-	is.True(outcomes[peerapi.OutcomeUnknown] > enough)
-	is.True(refused > enough)
+	const minOutcomes = historySeeds / 10 // the minimum of each outcome, so that the check covers it
+	is.True(outcomes[peerapi.OutcomeCompleted] > minOutcomes)
+	is.True(outcomes[peerapi.OutcomeNotRun] > minOutcomes)
+	is.True(outcomes[peerapi.OutcomeUnknown] > minOutcomes)
+	is.True(refused > minOutcomes)
 }
 
-// record runs one history and tells how many engines were given the request.
-func record(t *testing.T, seed uint64) (history []porcupine.Operation, starts int) {
+// recordHistory runs one history and returns it with the number of engines that received the request.
+func recordHistory(t *testing.T, seed uint64) (history []porcupine.Operation, starts int) {
 	random := &lockedRandom{random: rand.New(rand.NewPCG(seed, 1))}
 	faulty := random.intN(2) == 0
 	log := &fakeLog{fault: func(uint8) logFault {
 		if faulty && random.intN(4) == 0 {
 			return logFault(random.intN(4))
 		}
-		return logFine
+		return logOK
 	}}
 	engines := &fakeEngines{fault: func() dispatchFault {
 		if random.intN(20) == 0 {
 			return dispatchFault(random.intN(5))
 		}
-		return dispatchFault(random.intN(3)) // fine, or refused with proof
+		return dispatchFault(random.intN(3)) // no fault, or a rejection that proves that the request did not run
 	}}
 	var nodes []*Service
 	for range historyNodes {
@@ -164,13 +165,13 @@
 		clients.Go(func() {
 			for i := range historyAsks {
 				input := askInput{ask: uint64(1 + client*historyAsks/2 + i/2), resolve: random.intN(3) == 0}
-				node := nodes[max(0, random.intN(6*historyNodes)-5*historyNodes)] // mostly the first
+				node := nodes[max(0, random.intN(6*historyNodes)-5*historyNodes)] // mostly the first node
 				time.Sleep(time.Duration(random.intN(100)) * time.Millisecond)
 				if random.intN(3) == 0 {
-					log.landLate()
+					log.deliverDelayed()
 				}
 				called := time.Since(began)
-				var output ended
+				var output askResult
 				if input.resolve {
 					output = resolve(t.Context(), node, request("key", input.ask))
 				} else {
@@ -178,7 +179,7 @@
 				}
 				returned := int64(time.Since(began))
 				if output.refused {
-					returned = int64(time.Hour) // its effect may come at any later time
+					returned = int64(time.Hour) // the request may take effect at any later time
 				}
 				output.tokens = nil // compared by the other tests; operations must be comparable
 				mu.Lock()
@@ -193,7 +194,7 @@
 	return history, engines.total()
 }
 
-// lockedRandom is a source of numbers for many goroutines.
+// lockedRandom is a random source that is safe for concurrent use.
 type lockedRandom struct {
 	mu     sync.Mutex
 	random *rand.Rand
--- a/internal/requestledger/record.go
+++ b/internal/requestledger/record.go
@@ -2,28 +2,28 @@
 
 //go:generate go tool msgp -file record.go -tests=false -unexported
 
-// A decoder allocates what an array claims to hold before it reads it, so every array is bounded: most by
-// MaxRecordedTokens, others by their fields' tags.
+// A decoder allocates the length that an array declares before it reads the elements, so every array is limited: most
+// by MaxRecordedTokens, others by their fields' tags.
 //msgp:limit arrays:131072
 
 import (
 	"github.com/hillfork/hillfork/internal/peerapi"
 )
 
-// Kinds of record. The numbers are part of the stream's format and never change their meaning.
+// Kinds of record. The numbers are part of the stream's format and must never change their meaning.
 const (
 	kindStart  uint8 = 1
 	kindFinish uint8 = 2
 	kindCancel uint8 = 3
 )
 
-// startRecord says that the request is about to be given to an engine.
+// startRecord is appended before the request is dispatched to an engine.
 type startRecord struct {
 	Workload  string `msg:"w"`
 	RequestID string `msg:"r"`
 	Ask       uint64 `msg:"k"`
 	Digest    []byte `msg:"d"`
-	// AtUnixMillis is the owner's clock; it only serves the retention.
+	// AtUnixMillis is the time on the owner's clock; it is used only for retention.
 	AtUnixMillis int64 `msg:"at"`
 }
 
@@ -38,7 +38,7 @@
 	Tokens           []uint32        `msg:"t"`
 	Spans            []peerapi.Span  `msg:"s"`
 	AtUnixMillis     int64           `msg:"at"`
-	// StartEpoch is the epoch of the Start where that was another owner's; 0 for the epoch of the record.
+	// StartEpoch is the epoch of the Start if another owner wrote it; 0 means the epoch of this record.
 	StartEpoch uint64 `msg:"se"`
 }
 
@@ -50,7 +50,7 @@
 	AtUnixMillis int64  `msg:"at"`
 }
 
-// entrySnapshot is one key in a snapshot.
+// entrySnapshot is the snapshot of one request.
 type entrySnapshot struct {
 	Workload         string          `msg:"w"`
 	RequestID        string          `msg:"r"`
@@ -69,7 +69,8 @@
 	EndedUnixMillis  int64           `msg:"at"`
 }
 
-// stateSnapshot holds the running keys in the order of their starts, then the ended ones in the order of their ends.
+// stateSnapshot holds the running requests in the order of their starts, followed by the ended ones in the order of
+// their ends.
 type stateSnapshot struct {
 	Epoch       uint64          `msg:"e"`
 	ClockMillis int64           `msg:"c"`
--- a/internal/requestledger/resolve.go
+++ b/internal/requestledger/resolve.go
@@ -11,53 +11,55 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// recorded tells how the log says that the run's ask ended. known is false when a Start of the ask would be valid.
-func (s *Service) recorded(ctx context.Context, owner shard.Owner, run *run) (how result, known bool, err error) {
-	var found lookup
-	owner.View(func(state shard.State) { found = state.(*State).look(run.key, run.ask, run.digest, owner.Epoch()) })
-	if found.leftRunning && s.neverDispatched(run.key, found.runningAsk, owner.Epoch()) {
+// recordedResult returns the result that the log holds for the run's ask. known is false if a Start of the ask would be
+// valid.
+func (s *Service) recordedResult(ctx context.Context, owner shard.Owner, run *run) (final result, known bool, err error) {
+	var found lookupResult
+	owner.View(func(state shard.State) { found = state.(*State).lookup(run.key, run.ask, run.digest, owner.Epoch()) })
+	if found.unfinished && s.neverDispatched(run.key, found.runningAsk, owner.Epoch()) {
 		return s.closeUndispatched(ctx, owner, run, found.runningAsk)
 	}
 	return found.result, found.known, found.err
 }
 
-// lookup is what the state tells of one ask.
-type lookup struct {
+// lookupResult is what the state holds for one ask.
+type lookupResult struct {
 	known  bool
 	result result
 	err    error
-	// leftRunning says that the Start of runningAsk, in this owner's epoch, has no end.
-	leftRunning bool
-	runningAsk  uint64
+	// unfinished reports that the Start of runningAsk, in this owner's epoch, has no Finish.
+	unfinished bool
+	runningAsk uint64
 }
 
-func (s *State) look(name key, ask uint64, digest []byte, epoch uint64) lookup {
+func (s *State) lookup(name key, ask uint64, digest []byte, epoch uint64) lookupResult {
 	found := s.entries[name]
 	if found == nil {
-		return lookup{}
+		return lookupResult{}
 	}
 	if slices.Contains(found.closed, ask) {
-		return lookup{known: true, result: notRunResult(found)}
+		return lookupResult{known: true, result: notRunResult(found)}
 	}
 	if found.conflicts(digest) {
-		return lookup{err: &peer.Error{
+		return lookupResult{err: &peer.Error{
 			Code:    peer.CodeConflict,
 			Message: "the request id was used before with other content",
 		}}
 	}
 	if found.running {
-		return lookup{known: true, result: ownerLost(), leftRunning: found.epoch == epoch, runningAsk: found.ask}
+		return lookupResult{known: true, result: ownerLostResult(), unfinished: found.epoch == epoch, runningAsk: found.ask}
 	}
 	if found.answerDropped {
-		return lookup{known: true, result: answerDropped()}
+		return lookupResult{known: true, result: answerDroppedResult()}
 	}
 	if found.result.isNotRun() {
-		return lookup{}
+		return lookupResult{}
 	}
-	return lookup{known: true, result: found.result}
+	return lookupResult{known: true, result: found.result}
 }
 
-// notRunResult is the answer to an ask that was proven not run, whatever a later ask of the same request came to.
+// notRunResult returns the result of an ask that is proven not to have run, independent of the result of any later ask
+// of the same request.
 func notRunResult(found *entry) result {
 	if found.result.isNotRun() {
 		return found.result
@@ -65,23 +67,23 @@
 	return result{outcome: peerapi.OutcomeNotRun, reason: "this ask was cancelled before it was started"}
 }
 
-func answerDropped() result {
+func answerDroppedResult() result {
 	return result{outcome: peerapi.OutcomeUnknown, reason: "the request was completed; its answer is no longer kept"}
 }
 
 func (s *Service) neverDispatched(name key, ask, epoch uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, given := s.undispatched[startID{name, ask, epoch}]
-	return given
+	_, found := s.undispatched[startID{name, ask, epoch}]
+	return found
 }
 
-// closeUndispatched records that a Start whose append was left uncertain, and which this owner never dispatched, did not
-// run. Nobody else can have dispatched it, for only the owner that wrote a Start does. The ask at hand goes on from
-// there.
+// closeUndispatched records that a Start whose append was uncertain, and which this owner never dispatched, did not
+// run. No other process can have dispatched it, because only the owner that wrote a Start dispatches it. The current
+// ask then continues from the new state.
 func (s *Service) closeUndispatched(
 	ctx context.Context, owner shard.Owner, run *run, startedAsk uint64,
-) (how result, known bool, err error) {
+) (final result, known bool, err error) {
 	s.failpoint(BeforeCloseAsk)
 	body := finishRecord{
 		Workload:     run.key.workload,
@@ -93,40 +95,41 @@
 	}
 	_, err = appendRecord(ctx, owner, kindFinish, &body)
 	if err != nil {
-		return result{}, false, appendFailed(err)
+		return result{}, false, appendError(err)
 	}
 	s.mu.Lock()
 	delete(s.undispatched, startID{run.key, startedAsk, owner.Epoch()})
 	s.mu.Unlock()
-	return s.recorded(ctx, owner, run)
+	return s.recordedResult(ctx, owner, run)
 }
 
-// appendFailed turns the error of a record that cannot have started anything into an answer.
-func appendFailed(err error) error {
+// appendError converts the error of appending a record that cannot start a run into the error for the caller.
+func appendError(err error) error {
 	if errors.Is(err, shard.ErrNotOwner) {
-		return notOwner()
+		return notOwnerError()
 	}
-	return uncertain("the log could not be asked for the outcome of the request")
+	return uncertainError("the log could not be asked for the outcome of the request")
 }
 
-// resolveAsk is the drive that settles an ask whose contact was lost: it tells the recorded end, or closes the ask.
+// resolveAsk settles an ask whose caller lost contact: it returns the recorded result, or closes the ask so that it
+// never runs.
 func (s *Service) resolveAsk(ctx context.Context, run *run) (result, error) {
 	owner, err := s.open(ctx, run)
 	if err != nil {
 		return result{}, err
 	}
 	for {
-		if how, known, err := s.recorded(ctx, owner, run); known || err != nil {
-			return how, err
+		if final, known, err := s.recordedResult(ctx, owner, run); known || err != nil {
+			return final, err
 		}
 		s.failpoint(BeforeCancel)
 		body := cancelRecord{run.key.workload, run.key.requestID, run.ask, time.Now().UnixMilli()}
 		verdict, err := appendRecord(ctx, owner, kindCancel, &body)
 		if err != nil {
-			return result{}, appendFailed(err)
+			return result{}, appendError(err)
 		}
 		if verdict == VerdictFull {
-			return result{}, uncertain("the shard of the request ledger holds as many requests as it may")
+			return result{}, uncertainError("the shard of the request ledger holds as many requests as it may")
 		}
 		if verdict == VerdictApplied {
 			s.failpoint(AfterCancel)
--- a/internal/requestledger/result.go
+++ b/internal/requestledger/result.go
@@ -8,7 +8,7 @@
 
 func (r *result) isNotRun() bool { return r.outcome == peerapi.OutcomeNotRun }
 
-// add takes the next part of an answer.
+// add appends the next part of an answer.
 func (r *result) add(event peerapi.ExecuteEvent) {
 	from := len(r.tokens)
 	r.tokens = append(r.tokens, event.Tokens...)
@@ -20,7 +20,7 @@
 	r.spans = append(r.spans, peerapi.Span{From: from, To: len(r.tokens), Version: event.Version})
 }
 
-// resultOf is what is recorded of a run that ended so. Only a whole answer is kept.
+// resultOf returns the result to record for a run that ended with the given ending. Only complete answers are stored.
 func resultOf(ending answer.Ending, gathered result) result {
 	switch ending.Kind {
 	case answer.EndWhole:
@@ -41,7 +41,7 @@
 	return result{outcome: peerapi.OutcomeUnknown, reason: ending.Reason}
 }
 
-// send writes a result as the events of one attempt, the outcome last.
+// send sends a result as the events of one attempt, with the outcome in the last event.
 func (r *result) send(requestID string, attempt uint32, stream peer.ServerStream) error {
 	for _, span := range r.spans {
 		for from := span.From; from < span.To; from += eventTokens {
--- a/internal/requestledger/run.go
+++ b/internal/requestledger/run.go
@@ -8,8 +8,8 @@
 	"github.com/hillfork/hillfork/internal/peer"
 )
 
-// run is one key under way on this owner: an execution, or the cancelling of an ask. Everyone who asks for the key
-// meanwhile waits for it.
+// run is the active operation of one key on this owner: an execution, or the cancellation of an ask. All asks for the
+// key wait for it meanwhile.
 type run struct {
 	key    key
 	ask    uint64
@@ -22,35 +22,35 @@
 
 func (r *run) stream() string { return StreamOf(r.key.workload, r.key.requestID) }
 
-// answers tells whether the run's end is also the end of another ask's. Others look up anew what the run recorded, for an
-// ask that was said not to have run stays so whatever a later one came to.
-func (r *run) answers(wanted run) bool {
+// matches reports whether the result of the run also applies to the wanted ask. Other asks look up the recorded state
+// again, because an ask that was answered as not run stays not run whatever the result of a later one.
+func (r *run) matches(wanted run) bool {
 	return r.ask == wanted.ask && bytes.Equal(r.digest, wanted.digest)
 }
 
-// drive works out the end of a run.
-type drive func(ctx context.Context, run *run) (result, error)
+// runFunc computes the result of a run.
+type runFunc func(ctx context.Context, run *run) (result, error)
 
-// settle joins the run of a key, or begins one, until there is an end that holds for the ask.
-func (s *Service) settle(ctx context.Context, wanted run, budget time.Duration, begin drive) (*run, error) {
+// settle joins the active run of a key, or starts one, and repeats this until a run's result applies to the wanted ask.
+func (s *Service) settle(ctx context.Context, wanted run, budget time.Duration, execute runFunc) (*run, error) {
 	for {
-		joined, err := s.join(wanted, budget, begin)
+		joined, err := s.join(wanted, budget, execute)
 		if err != nil {
 			return nil, err
 		}
 		select {
 		case <-joined.done:
 		case <-ctx.Done():
-			return nil, uncertain("the request is still under way")
+			return nil, uncertainError("the request is still under way")
 		}
-		if joined.answers(wanted) {
+		if joined.matches(wanted) {
 			return joined, joined.err
 		}
 	}
 }
 
-// join returns the run under way for the key, or begins it.
-func (s *Service) join(wanted run, budget time.Duration, begin drive) (*run, error) {
+// join returns the active run of the key, or starts one.
+func (s *Service) join(wanted run, budget time.Duration, execute runFunc) (*run, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lifetime.Err() != nil {
@@ -71,21 +71,22 @@
 	}
 	fresh := &run{key: wanted.key, ask: wanted.ask, digest: wanted.digest, done: make(chan struct{})}
 	s.runs[fresh.key] = fresh
-	s.running.Go(func() { s.perform(fresh, budget, begin) })
+	s.running.Go(func() { s.perform(fresh, budget, execute) })
 	return fresh, nil
 }
 
-// perform runs on the service's own lifetime: a caller that leaves does not stop a run.
-func (s *Service) perform(run *run, budget time.Duration, begin drive) {
+// perform executes a run under the service's lifetime instead of the caller's context: a caller that disconnects does
+// not stop the run.
+func (s *Service) perform(run *run, budget time.Duration, execute runFunc) {
 	ctx, cancel := context.WithTimeout(s.lifetime, budget)
 	defer cancel()
-	run.result, run.err = begin(ctx, run)
+	run.result, run.err = execute(ctx, run)
 	s.mu.Lock()
 	delete(s.runs, run.key)
 	s.mu.Unlock()
 	close(run.done)
 }
 
-func uncertain(message string) *peer.Error {
+func uncertainError(message string) *peer.Error {
 	return &peer.Error{Code: peer.CodeUncertain, Message: message}
 }
--- a/internal/requestledger/service.go
+++ b/internal/requestledger/service.go
@@ -1,6 +1,9 @@
-// Package requestledger owns the requests that are unsafe to repeat. It records a Start before a request is given to an
-// engine and a Finish after it ended, so that a request runs at most once under its key, and the same key asked again
-// gets the same whole answer. State is the fold of a shard's stream; Service is what its owner does.
+// Package requestledger executes requests that are unsafe to repeat. It records a Start before a request is dispatched
+// to an engine and a Finish after it ended, so that a request runs at most once under its key, and a repeated request
+// with the same key gets the same complete answer.
+//
+// An ask is one submission of a request by its caller; all asks of a request share its key (workload and request id),
+// and each has its own number. State is the fold of a shard's stream; Service is the behavior of the shard's owner.
 //
 // Lock order: Service.mu is a leaf; it is never held across a call to the log, an engine or a caller.
 package requestledger
@@ -29,31 +32,31 @@
 const (
 	// Shards is the number of shards of each workload's requests.
 	Shards = 16
-	// MaxRequestIDBytes bounds the key that a caller chooses.
+	// MaxRequestIDBytes limits the length of the request id, which the caller chooses.
 	MaxRequestIDBytes = 256
-	// MaxRecordedTokens bounds the answer of an unsafe request. It fits into one record of the log, and record.go bounds
-	// the arrays of records by it.
+	// MaxRecordedTokens limits the answer of an unsafe request. Such an answer fits into one record of the log, and the
+	// arrays of records in record.go have the same limit.
 	MaxRecordedTokens = 131072
-	// maxRuns bounds the requests under way on one node.
+	// maxRuns limits the concurrent runs on one node.
 	maxRuns = 1024
-	// maxDispatches bounds the engines that may refuse one request before it ends as not run.
+	// maxDispatches limits how many engines may reject one request before it ends as not run.
 	maxDispatches = 3
-	// defaultTimeout bounds a run whose workload has no timeout.
+	// defaultTimeout limits a run whose workload has no timeout.
 	defaultTimeout = time.Minute
-	// settleTimeout bounds the time to record the end of a run beyond the request's own deadline.
+	// settleTimeout limits how long recording the end of a run may take beyond the request's own deadline.
 	settleTimeout = 30 * time.Second
-	// recordRetryDelay is the pause between tries to record the end of a run while the log is unsure.
+	// recordRetryDelay is the delay between attempts to record the end of a run while an append is uncertain.
 	recordRetryDelay = 200 * time.Millisecond
-	// overloadedRetryAfter is told to callers refused for a bound of the ledger.
+	// overloadedRetryAfter is the retry delay sent to callers that are refused because of a limit of the ledger.
 	overloadedRetryAfter = time.Second
-	// eventTokens bounds the tokens of one event of a recorded answer.
+	// eventTokens limits the tokens in one event of a recorded answer.
 	eventTokens = 4096
 )
 
-// streamPrefix starts the names of the streams of all shards.
+// streamPrefix is the prefix of the stream names of all shards.
 const streamPrefix = "requests/"
 
-// StreamName names the stream of a workload's shard.
+// StreamName returns the name of the stream of a workload's shard.
 func StreamName(workload string, shard int) string {
 	return streamPrefix + workload + "/" + strconv.Itoa(shard)
 }
@@ -69,12 +72,12 @@
 	return rest[:cut], shard, err == nil && shard >= 0 && shard < Shards
 }
 
-// StreamOf names the stream that holds a request.
+// StreamOf returns the name of the stream that holds a request.
 func StreamOf(workload, requestID string) string {
 	return StreamName(workload, int(xxhash.Sum64String(requestID)%Shards))
 }
 
-// Digest is the digest of what a request asks for: its prompt, bound and seed.
+// Digest returns a digest of a request's content: its prompt, token limit and seed.
 func Digest(prompt []uint32, maxTokens int, seed uint64) []byte {
 	encoded := make([]byte, 0, 16+4*len(prompt))
 	encoded = binary.BigEndian.AppendUint64(encoded, uint64(maxTokens))
@@ -86,14 +89,14 @@
 	return sum[:16]
 }
 
-// Dispatcher gives a request to an engine.
+// Dispatcher sends requests to engines.
 type Dispatcher interface {
-	// Dispatch picks an engine that is not excluded and sends it the request, once. The request's Engine is filled by the
-	// dispatcher. Any error for which answer.ProvenNotRun holds says that no engine was given the request.
+	// Dispatch chooses an engine that is not excluded and sends it the request once. The dispatcher fills in the
+	// request's Engine. An error for which answer.ProvenNotRun is true means that no engine received the request.
 	Dispatch(ctx context.Context, request peerapi.Execute, excluded []string) (engine string, stream peer.ClientStream, err error)
 }
 
-// Failpoint names a moment between two effects of a run, for tests that stop an owner there.
+// Failpoint identifies a point between two effects of a run, at which tests stop an owner.
 type Failpoint string
 
 // Failpoints of a run, in their order.
@@ -109,49 +112,50 @@
 	BeforeCloseAsk Failpoint = "before close ask"
 )
 
-// Config holds what a Service needs.
+// Config configures a Service.
 type Config struct {
 	Opener     shard.Opener
 	Dispatcher Dispatcher
 	Bundles    bundle.Source
-	// Owners reaches the owner that took a shard over; nil leaves requests that ran then unknown.
+	// Owners calls the owner that took over a shard; if nil, requests that were running at the takeover stay unknown.
 	Owners OwnerCaller
 	// Logger may be nil.
 	Logger *log.Logger
 	// Failpoint is called at each Failpoint; it may be nil.
 	Failpoint func(Failpoint)
-	// Mutations switches mechanisms off; only tests set it.
+	// Mutations disables mechanisms; only tests set it.
 	Mutations mutation.Set
 }
 
-// Service answers for the shards that this process owns.
+// Service handles requests for the shards that this process owns.
 type Service struct {
 	config Config
 	logger *log.Logger
-	// lifetime ends when the service is closed.
+	// lifetime is cancelled when the service is closed.
 	lifetime context.Context
 	close    context.CancelFunc
 	running  sync.WaitGroup
 
 	mu sync.Mutex
-	// draining refuses new runs.
+	// draining makes the service refuse new runs.
 	draining bool
 	runs     map[key]*run
-	// epochs holds the newest epoch in which a run began, and handedOver the one that is being given up, by stream.
+	// epochs holds the latest epoch in which a run started, and handedOver the epoch that is being handed over, both by
+	// stream.
 	epochs     map[string]uint64
 	handedOver map[string]uint64
-	// undispatched holds the Starts that may be recorded and whose run was given up before any dispatch.
+	// undispatched holds the Starts whose append was uncertain and whose run ended before any dispatch.
 	undispatched map[startID]struct{}
 }
 
-// startID names a Start that this process wrote.
+// startID identifies a Start that this process wrote.
 type startID struct {
 	key   key
 	ask   uint64
 	epoch uint64
 }
 
-// New returns a service; Close ends it.
+// New returns a Service. It must be closed with Close.
 func New(config Config) *Service {
 	logger := cmp.Or(config.Logger, log.New(io.Discard))
 	lifetime, closeLifetime := context.WithCancel(context.Background())
@@ -167,15 +171,14 @@
 	}
 }
 
-// Register adds the service's methods.
+// Register registers the service's methods.
 func (s *Service) Register(registrar peer.Registrar) {
 	registrar.HandleStream(peerapi.MethodExecuteOnce, s.handleExecuteOnce)
 	registrar.HandleUnary(peerapi.MethodResolve, s.handleResolve)
 	registrar.HandleUnary(peerapi.MethodFinishRequest, s.handleFinishRequest)
 }
 
-// Close abandons the runs under way and waits for their goroutines. Their requests will be answered as unknown by the
-// next owner.
+// Close cancels the active runs and waits for their goroutines. The next owner answers their requests as unknown.
 func (s *Service) Close() {
 	s.mu.Lock()
 	s.close()
--- a/internal/requestledger/service_test.go
+++ b/internal/requestledger/service_test.go
@@ -14,25 +14,26 @@
 )
 
 var (
-	completed = ended{outcome: peerapi.OutcomeCompleted, tokens: engineAnswer}
-	notRun    = ended{outcome: peerapi.OutcomeNotRun}
-	unknown   = ended{outcome: peerapi.OutcomeUnknown}
-	doubtful  = ended{refused: true, code: peer.CodeUncertain}
-	conflict  = ended{refused: true, code: peer.CodeConflict}
+	completed = askResult{outcome: peerapi.OutcomeCompleted, tokens: engineAnswer}
+	notRun    = askResult{outcome: peerapi.OutcomeNotRun}
+	unknown   = askResult{outcome: peerapi.OutcomeUnknown}
+	uncertain = askResult{refused: true, code: peer.CodeUncertain}
+	conflict  = askResult{refused: true, code: peer.CodeConflict}
 )
 
-// step is one ask of a caller at one of the nodes.
+// step is one ask by a caller to one of the nodes.
 type step struct {
 	ask     uint64
 	resolve bool
-	// node is the one asked; a node that was not asked before takes the shard over.
+	// node is the node that receives the ask; a node that receives its first ask takes over the shard.
 	node int
 	seed uint64
-	want ended
+	want askResult
 }
 
-// TestAsks goes through asks of one key, one after the other, with faults in their order.
-func TestAsks(t *testing.T) {
+// TestAsksWithFaults sends asks of one key one after the other, with log and dispatch faults in the given order, and
+// checks each result and that no engine runs the request twice.
+func TestAsksWithFaults(t *testing.T) {
 	cases := []struct {
 		name     string
 		log      []logFault
@@ -59,18 +60,18 @@
 			[]step{{ask: 1, want: unknown}}, 1},
 		{"a resolved ask is never run, a new one is", nil, nil,
 			[]step{{ask: 1, resolve: true, want: notRun}, {ask: 1, want: notRun}, {ask: 1, node: 1, want: notRun}, {ask: 2, node: 1, want: completed}, {ask: 1, resolve: true, node: 1, want: notRun}}, 1},
-		{"a Start of which only the answer was lost is closed as not run", []logFault{logLostAnswer}, nil,
-			[]step{{ask: 1, want: doubtful}, {ask: 1, resolve: true, want: notRun}, {ask: 1, want: notRun}, {ask: 2, want: completed}}, 1},
+		{"a Start of which only the answer was lost is closed as not run", []logFault{logLostResponse}, nil,
+			[]step{{ask: 1, want: uncertain}, {ask: 1, resolve: true, want: notRun}, {ask: 1, want: notRun}, {ask: 2, want: completed}}, 1},
 		{"a Start that was lost is cancelled", []logFault{logLostRequest}, nil,
-			[]step{{ask: 1, want: doubtful}, {ask: 1, resolve: true, want: notRun}, {ask: 2, want: completed}}, 1},
-		{"the next owner cannot tell about a Start whose answer was lost", []logFault{logLostAnswer}, nil,
-			[]step{{ask: 1, want: doubtful}, {ask: 1, resolve: true, node: 1, want: unknown}, {ask: 2, node: 1, want: unknown}}, 0},
-		{"a Finish of which the answer was lost is written again", []logFault{logFine, logLostAnswer}, nil,
+			[]step{{ask: 1, want: uncertain}, {ask: 1, resolve: true, want: notRun}, {ask: 2, want: completed}}, 1},
+		{"the next owner cannot tell about a Start whose answer was lost", []logFault{logLostResponse}, nil,
+			[]step{{ask: 1, want: uncertain}, {ask: 1, resolve: true, node: 1, want: unknown}, {ask: 2, node: 1, want: unknown}}, 0},
+		{"a Finish of which the answer was lost is written again", []logFault{logOK, logLostResponse}, nil,
 			[]step{{ask: 1, want: completed}, {ask: 2, want: completed}}, 1},
-		{"a Finish that was lost is written again", []logFault{logFine, logLostRequest, logLostRequest}, nil,
+		{"a Finish that was lost is written again", []logFault{logOK, logLostRequest, logLostRequest}, nil,
 			[]step{{ask: 1, want: completed}, {ask: 2, node: 1, want: completed}}, 1},
-		{"a Cancel of which the answer was lost leaves it open, then holds", []logFault{logLostAnswer}, nil,
-			[]step{{ask: 1, resolve: true, want: doubtful}, {ask: 1, want: notRun}, {ask: 1, resolve: true, want: notRun}}, 0},
+		{"a Cancel of which the answer was lost leaves it open, then holds", []logFault{logLostResponse}, nil,
+			[]step{{ask: 1, resolve: true, want: uncertain}, {ask: 1, want: notRun}, {ask: 1, resolve: true, want: notRun}}, 0},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -86,7 +87,7 @@
 					}
 					asked := request("key", step.ask)
 					asked.Seed = step.seed
-					got := ended{}
+					got := askResult{}
 					if step.resolve {
 						got = resolve(t.Context(), nodes[step.node], asked)
 					} else {
@@ -102,7 +103,7 @@
 	}
 }
 
-// inOrder hands faults out one by one, and then none.
+// inOrder returns a function that returns the given faults one by one, and then no fault.
 func inOrder[F ~uint8](faults []F) func() F {
 	return func() F {
 		if len(faults) == 0 {
@@ -118,7 +119,7 @@
 	return func(uint8) logFault { return next() }
 }
 
-func equal(a, b ended) bool {
+func equal(a, b askResult) bool {
 	if a.outcome != b.outcome || a.refused != b.refused || a.code != b.code || len(a.tokens) != len(b.tokens) {
 		return false
 	}
@@ -130,21 +131,22 @@
 	return true
 }
 
-// TestDeathOfTheOwner stops an owner at every failpoint, lets another one take over and answer, and then lets the first
-// one wake up, still believing that it owns the shard.
-func TestDeathOfTheOwner(t *testing.T) {
+// TestOwnerSupersededAtFailpoint pauses an owner at every failpoint, lets a second owner take over and answer, and then
+// resumes the first one, which still assumes that it owns the shard. A resumed owner must not run a request that was
+// answered as not run.
+func TestOwnerSupersededAtFailpoint(t *testing.T) {
 	refusing := []dispatchFault{dispatchRefused, dispatchRefused, dispatchRefused}
 	cases := []struct {
 		at       Failpoint
-		resolves bool // the first owner dies in a Resolve
+		resolves bool // the first owner is paused in a Resolve
 		dispatch []dispatchFault
 		log      []logFault
-		want     ended // what the second owner answers to a Resolve of the ask
-		starts   int   // engine starts after all, with a new ask at the end
-		again    ended // what the new ask gets
+		want     askResult // the second owner's answer to a Resolve of the ask
+		starts   int       // engine starts in total, including those of a new ask at the end
+		again    askResult // the result of the new ask
 	}{
 		{at: BeforeStart, want: notRun, starts: 1, again: completed},
-		{at: AfterStart, want: unknown, starts: 1, again: unknown}, // the first owner wakes up and dispatches
+		{at: AfterStart, want: unknown, starts: 1, again: unknown}, // the first owner is resumed and dispatches
 		{at: AfterDispatch, want: unknown, starts: 1, again: unknown},
 		{at: BeforeFinish, want: unknown, starts: 1, again: unknown},
 		{at: AfterFinish, want: completed, starts: 1, again: completed},
@@ -160,17 +162,17 @@
 				is := is.New(t)
 				log := &fakeLog{}
 				engines := &fakeEngines{fault: inOrder(tt.dispatch)}
-				wake := make(chan struct{})
+				resume := make(chan struct{})
 				reached := false
 				first := New(Config{Opener: &fakeNode{log: log}, Dispatcher: engines, Bundles: fakeBundles{}, Failpoint: func(at Failpoint) {
 					if at == tt.at && !reached {
 						reached = true
-						<-wake
+						<-resume
 					}
 				}})
 				defer first.Close()
 				asked := request("key", 1)
-				var firstEnd ended
+				var firstEnd askResult
 				firstDone := make(chan struct{})
 				go func() {
 					defer close(firstDone)
@@ -188,15 +190,15 @@
 				if got := resolve(t.Context(), second, asked); !equal(got, tt.want) {
 					t.Errorf("second owner: got %+v, want %+v", got, tt.want)
 				}
-				close(wake)
+				close(resume)
 				<-firstDone
 				if tt.want.outcome == peerapi.OutcomeNotRun {
-					is.Equal(engines.total(), 0)                           // said not to have run, and never run later
-					is.True(firstEnd.outcome != peerapi.OutcomeCompleted)  // nor answered by the one that woke up
-					is.Equal(execute(t.Context(), second, asked), tt.want) // nor by a late delivery
+					is.Equal(engines.total(), 0)                           // answered as not run, and never run later
+					is.True(firstEnd.outcome != peerapi.OutcomeCompleted)  // nor answered as completed by the resumed owner
+					is.Equal(execute(t.Context(), second, asked), tt.want) // nor run by a delayed execution of the same ask
 				}
 				if tt.want.outcome == peerapi.OutcomeUnknown && firstEnd.outcome == peerapi.OutcomeNotRun {
-					t.Error("the first owner said not run after it was superseded")
+					t.Error("the first owner answered not run after it was superseded")
 				}
 				if got := execute(t.Context(), second, request("key", 2)); !equal(got, tt.again) {
 					t.Errorf("new ask: got %+v, want %+v", got, tt.again)
@@ -207,22 +209,22 @@
 	}
 }
 
-// TestConcurrentAsks lets asks of the same key arrive while it runs; they wait for the one run.
-func TestConcurrentAsks(t *testing.T) {
+// TestConcurrentAsksShareRun sends asks for a key that is already running; all of them wait for the one run.
+func TestConcurrentAsksShareRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines := &fakeEngines{gate: make(chan struct{})}
 		service := New(Config{Opener: &fakeNode{log: &fakeLog{}}, Dispatcher: engines, Bundles: fakeBundles{}})
 		defer service.Close()
-		ends := make(chan ended, 4)
-		gone, leave := context.WithCancel(t.Context())
+		ends := make(chan askResult, 4)
+		callerCtx, disconnect := context.WithCancel(t.Context())
 		for ask := range uint64(3) {
 			go func() { ends <- execute(t.Context(), service, request("key", ask+1)) }()
 		}
-		go func() { ends <- execute(gone, service, request("key", 9)) }()
+		go func() { ends <- execute(callerCtx, service, request("key", 9)) }()
 		synctest.Wait()
-		leave()
-		is.Equal(<-ends, doubtful) // a caller that leaves does not stop the run
+		disconnect()
+		is.Equal(<-ends, uncertain) // a caller that disconnects does not stop the run
 		close(engines.gate)
 		for range 3 {
 			is.True(equal(<-ends, completed))
@@ -231,19 +233,20 @@
 	})
 }
 
-// TestDeadline lets an engine take longer than the caller waits, and then for ever.
-func TestDeadline(t *testing.T) {
+// TestCallerTimeoutDoesNotStopRun checks a run that takes longer than its caller waits: it finishes and a later ask
+// gets the answer. If the engine never answers, the request ends as unknown.
+func TestCallerTimeoutDoesNotStopRun(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			engines := &fakeEngines{gate: make(chan struct{})}
 			service := New(Config{Opener: &fakeNode{log: &fakeLog{}}, Dispatcher: engines, Bundles: fakeBundles{}})
 			defer service.Close()
-			hurried, cancel := context.WithTimeout(t.Context(), time.Second)
+			callerCtx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
-			impatient := request("key", 1)
-			impatient.TimeoutMillis = 1000
-			is.True(equal(execute(hurried, service, impatient), doubtful))
+			shortRequest := request("key", 1)
+			shortRequest.TimeoutMillis = 1000
+			is.True(equal(execute(callerCtx, service, shortRequest), uncertain))
 			want := unknown
 			if !hangs {
 				time.AfterFunc(10*time.Second, func() { close(engines.gate) })
@@ -255,43 +258,45 @@
 	}
 }
 
-// TestQueuedUntilTheDeadline lets a request wait in an engine's queue for all of its time.
-func TestQueuedUntilTheDeadline(t *testing.T) {
+// TestQueuedUntilDeadlineIsNotRun keeps a request in an engine's queue for the whole timeout of its caller. The caller
+// must still receive the answer that the request did not run.
+func TestQueuedUntilDeadlineIsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines := &fakeEngines{fault: func() dispatchFault { return dispatchQueued }}
 		service := New(Config{Opener: &fakeNode{log: &fakeLog{}}, Dispatcher: engines, Bundles: fakeBundles{}})
 		defer service.Close()
-		impatient := request("key", 1)
-		impatient.TimeoutMillis = 4000 // the workload allows a run more
-		hurried, cancel := context.WithTimeout(t.Context(), 4*time.Second)
+		shortRequest := request("key", 1)
+		shortRequest.TimeoutMillis = 4000 // shorter than the workload's timeout
+		callerCtx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 		defer cancel()
-		is.Equal(execute(hurried, service, impatient).outcome, peerapi.OutcomeNotRun)
+		is.Equal(execute(callerCtx, service, shortRequest).outcome, peerapi.OutcomeNotRun)
 	})
 }
 
-// TestLateStart lets a Start whose append was given up reach the log at every later moment.
-func TestLateStart(t *testing.T) {
-	for _, landsBefore := range []int{1, 2, 3} {
+// TestDelayedStartAppend delays the append of a Start whose outcome was uncertain until each later point of the
+// history: the request must still run only once.
+func TestDelayedStartAppend(t *testing.T) {
+	for _, deliveredBefore := range []int{1, 2, 3} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			log := &fakeLog{fault: anyKind(inOrder([]logFault{logLate}))}
+			log := &fakeLog{fault: anyKind(inOrder([]logFault{logDelayed}))}
 			engines := &fakeEngines{}
 			service := New(Config{Opener: &fakeNode{log: log}, Dispatcher: engines, Bundles: fakeBundles{}})
 			defer service.Close()
-			asks := []func() ended{
-				func() ended { return execute(t.Context(), service, request("key", 1)) },
-				func() ended { return resolve(t.Context(), service, request("key", 1)) },
-				func() ended { return execute(t.Context(), service, request("key", 2)) },
-				func() ended { return execute(t.Context(), service, request("key", 1)) },
+			asks := []func() askResult{
+				func() askResult { return execute(t.Context(), service, request("key", 1)) },
+				func() askResult { return resolve(t.Context(), service, request("key", 1)) },
+				func() askResult { return execute(t.Context(), service, request("key", 2)) },
+				func() askResult { return execute(t.Context(), service, request("key", 1)) },
 			}
-			wants := []ended{doubtful, notRun, completed, notRun}
+			wants := []askResult{uncertain, notRun, completed, notRun}
 			for i, ask := range asks {
-				if i == landsBefore {
-					log.landLate()
+				if i == deliveredBefore {
+					log.deliverDelayed()
 				}
 				if got := ask(); !equal(got, wants[i]) {
-					t.Errorf("landed before %d: ask %d got %+v, want %+v", landsBefore, i, got, wants[i])
+					t.Errorf("delivered before %d: ask %d got %+v, want %+v", deliveredBefore, i, got, wants[i])
 				}
 			}
 			is.Equal(engines.total(), 1)
@@ -299,20 +304,21 @@
 	}
 }
 
-// TestUnrecordedFinish keeps the log from taking the Finish of a request that ran: it is never said not to have run.
-func TestUnrecordedFinish(t *testing.T) {
+// TestUnrecordedFinishIsUnknown makes the log drop the Finish of a request that ran: the request must never be answered
+// as not run.
+func TestUnrecordedFinishIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := &fakeLog{fault: func(kind uint8) logFault {
 			if kind == kindFinish {
 				return logLostRequest
 			}
-			return logFine
+			return logOK
 		}}
 		engines := &fakeEngines{}
 		service := New(Config{Opener: &fakeNode{log: log}, Dispatcher: engines, Bundles: fakeBundles{}})
 		defer service.Close()
-		is.True(equal(execute(t.Context(), service, request("key", 1)), doubtful))
+		is.True(equal(execute(t.Context(), service, request("key", 1)), uncertain))
 		log.fault = nil
 		is.True(equal(resolve(t.Context(), service, request("key", 1)), unknown))
 		is.True(equal(execute(t.Context(), service, request("key", 2)), unknown))
@@ -320,8 +326,9 @@
 	})
 }
 
-// TestPlannedMove hands the shard over, or stops the node, while a request runs: it is not cut off, and no other begins.
-func TestPlannedMove(t *testing.T) {
+// TestHandoverWaitsForRun hands the shard over, or drains the node, while a request runs: the run must not be cut off,
+// and no other run may start.
+func TestHandoverWaitsForRun(t *testing.T) {
 	for _, stops := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -329,7 +336,7 @@
 			log := &fakeLog{}
 			service := New(Config{Opener: &fakeNode{log: log}, Dispatcher: engines, Bundles: fakeBundles{}})
 			defer service.Close()
-			running := make(chan ended, 1)
+			running := make(chan askResult, 1)
 			go func() { running <- execute(t.Context(), service, request("key", 1)) }()
 			synctest.Wait()
 			settled := make(chan struct{})
@@ -346,15 +353,15 @@
 			synctest.Wait()
 			select {
 			case <-settled:
-				t.Error("the shard was given up while a request ran")
+				t.Error("the shard was released while a request was running")
 			default:
 			}
-			// A request of the same shard, whose shard is known by name.
+			// Finds another request id in the same shard.
 			other := request("key", 1)
 			for i := 0; StreamOf("filing", other.RequestID) != StreamOf("filing", "key") || other.RequestID == "key"; i++ {
 				other.RequestID = strconv.Itoa(i)
 			}
-			is.Equal(execute(t.Context(), service, other), ended{refused: true, code: peer.CodeNotReady})
+			is.Equal(execute(t.Context(), service, other), askResult{refused: true, code: peer.CodeNotReady})
 			close(engines.gate)
 			<-settled
 			is.True(equal(<-running, completed))
@@ -369,15 +376,15 @@
 	}
 }
 
-// TestAnswerHandedIn lets another owner take the shard over while a request runs. Its answer is not lost with the epoch:
-// the first owner hands it in.
-func TestAnswerHandedIn(t *testing.T) {
+// TestAnswerForwardedAfterTakeover has another owner take over the shard while a request runs. The answer must not be
+// lost with the epoch: the first owner forwards it to the new owner.
+func TestAnswerForwardedAfterTakeover(t *testing.T) {
 	for name, tt := range map[string]struct {
 		dispatch dispatchFault
-		first    ended
-		after    ended
+		first    askResult
+		after    askResult
 	}{
-		"whole answer":       {dispatchFine, completed, completed},
+		"whole answer":       {dispatchOK, completed, completed},
 		"broken answer":      {dispatchBroken, unknown, unknown},
 		"all engines refuse": {dispatchRefused, unknown, unknown},
 	} {
@@ -388,22 +395,22 @@
 				engines := &fakeEngines{fault: func() dispatchFault { return tt.dispatch }}
 				second := New(Config{Opener: &fakeNode{log: log}, Dispatcher: engines, Bundles: fakeBundles{}})
 				defer second.Close()
-				wake := make(chan struct{})
+				resume := make(chan struct{})
 				first := New(Config{
 					Opener: &fakeNode{log: log}, Dispatcher: engines, Bundles: fakeBundles{},
 					Owners: fakeOwners{func() *Service { return second }},
 					Failpoint: func(at Failpoint) {
 						if at == BeforeFinish {
-							<-wake
+							<-resume
 						}
 					},
 				})
 				defer first.Close()
-				firstEnd := make(chan ended, 1)
+				firstEnd := make(chan askResult, 1)
 				go func() { firstEnd <- execute(t.Context(), first, request("key", 1)) }()
 				synctest.Wait()
 				is.True(equal(resolve(t.Context(), second, request("key", 1)), unknown))
-				close(wake)
+				close(resume)
 				is.True(equal(<-firstEnd, tt.first))
 				is.True(equal(execute(t.Context(), second, request("key", 2)), tt.after))
 				third := New(Config{Opener: &fakeNode{log: log}, Dispatcher: engines, Bundles: fakeBundles{}})
@@ -415,13 +422,13 @@
 	}
 }
 
-func TestTooLongToRecord(t *testing.T) {
+func TestMaxTokensLimit(t *testing.T) {
 	is := is.New(t)
 	engines := &fakeEngines{}
 	service := New(Config{Opener: &fakeNode{log: &fakeLog{}}, Dispatcher: engines, Bundles: fakeBundles{}})
 	defer service.Close()
 	long := request("key", 1)
 	long.MaxTokens = MaxRecordedTokens + 1
-	is.Equal(execute(t.Context(), service, long), ended{refused: true, code: peer.CodeInvalid})
+	is.Equal(execute(t.Context(), service, long), askResult{refused: true, code: peer.CodeInvalid})
 	is.Equal(engines.total(), 0)
 }
--- a/internal/requestledger/shard_test.go
+++ b/internal/requestledger/shard_test.go
@@ -15,19 +15,19 @@
 	"github.com/hillfork/hillfork/internal/standin/logservice"
 )
 
-// movingPlacer places every shard at one of two nodes, for both of them to see.
+// movingPlacer is the view of one node on the node that currently owns all shards; all nodes share that state.
 type movingPlacer struct {
-	self  string
-	place *placedNode
+	self    string
+	current *currentOwner
 }
 
-type placedNode struct {
+type currentOwner struct {
 	mu      sync.Mutex
 	node    string
 	changed chan struct{}
 }
 
-func (p *placedNode) move(node string) {
+func (p *currentOwner) move(node string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.node = node
@@ -40,24 +40,25 @@
 }
 
 func (p movingPlacer) Owner(string, placement.Preference) (placement.Member, bool) {
-	p.place.mu.Lock()
-	defer p.place.mu.Unlock()
-	return placement.Member{Node: p.place.node, PeerAddress: p.place.node}, true
+	p.current.mu.Lock()
+	defer p.current.mu.Unlock()
+	return placement.Member{Node: p.current.node, PeerAddress: p.current.node}, true
 }
 
 func (p movingPlacer) Changed() <-chan struct{} {
-	p.place.mu.Lock()
-	defer p.place.mu.Unlock()
-	return p.place.changed
+	p.current.mu.Lock()
+	defer p.current.mu.Unlock()
+	return p.current.changed
 }
 
-// TestOverRealShards runs the ledger over shard.Manager and the log stand-in, while the log loses answers and requests and
-// the shards move from node to node and are restored from snapshots.
-func TestOverRealShards(t *testing.T) {
+// TestRunsOnceWhileShardsMove runs the ledger on shard.Manager and a fake log that loses requests and responses, while
+// the shards move between two nodes and are restored from snapshots. It guards against a request that runs twice or
+// whose answer changes after a move.
+func TestRunsOnceWhileShardsMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := logservice.New(logservice.Config{Seed: 4})
-		place := &placedNode{node: "a", changed: make(chan struct{})}
+		current := &currentOwner{node: "a", changed: make(chan struct{})}
 		engines := &fakeEngines{}
 		nodes := map[string]*Service{}
 		for _, name := range []string{"a", "b"} {
@@ -66,7 +67,7 @@
 			manager := shard.NewManager(shard.Config{
 				Log:      log,
 				Identity: shard.Identity{Node: name, Incarnation: 1, PeerAddress: name},
-				Placer:   movingPlacer{name, place},
+				Placer:   movingPlacer{name, current},
 				NewState: func(string) (shard.State, error) { return NewState(), nil },
 				Settings: settings,
 			})
@@ -76,17 +77,17 @@
 		}
 		log.LoseAnswersAtRandom(0.2)
 		log.LoseRequestsAtRandom(0.2)
-		ends := map[string]ended{}
+		ends := map[string]askResult{}
 		for i := range 120 {
 			name := []string{"a", "b"}[i/20%2]
-			place.move(name)
+			current.move(name)
 			id := fmt.Sprint("r", i%40)
 			end := execute(t.Context(), nodes[name], request(id, uint64(i)))
 			for tries := 0; end.refused && tries < 20; tries++ {
 				time.Sleep(time.Second)
 				end = execute(t.Context(), nodes[name], request(id, uint64(i)))
 			}
-			is.True(equal(end, completed)) // no engine fails, and each shard is asked until it answers
+			is.True(equal(end, completed)) // no engine fails, and each shard is retried until it answers
 			before, known := ends[id]
 			is.True(!known || equal(before, end))
 			ends[id] = end
--- a/internal/requestledger/snapshot.go
+++ b/internal/requestledger/snapshot.go
@@ -10,8 +10,8 @@
 func (s *State) Snapshot() ([]byte, error) {
 	snapshot := stateSnapshot{Epoch: s.epoch, ClockMillis: s.clock}
 	for _, entries := range []*list.List{s.running, s.ended} {
-		for place := entries.Front(); place != nil; place = place.Next() {
-			snapshot.Entries = append(snapshot.Entries, place.Value.(*entry).encode())
+		for element := entries.Front(); element != nil; element = element.Next() {
+			snapshot.Entries = append(snapshot.Entries, element.Value.(*entry).encode())
 		}
 	}
 	body, err := snapshot.MarshalMsg(nil)
@@ -41,7 +41,7 @@
 	}
 }
 
-// Restore replaces the state by an encoded one. On an error the state is left as it was.
+// Restore replaces the state with an encoded snapshot. If it returns an error, the state is unchanged.
 func (s *State) Restore(body []byte) error {
 	var snapshot stateSnapshot
 	if _, err := snapshot.UnmarshalMsg(body); err != nil {
@@ -83,12 +83,12 @@
 	}
 	s.entries[added.key] = added
 	if added.running {
-		added.place = s.running.PushBack(added)
+		added.element = s.running.PushBack(added)
 		return
 	}
-	added.place = s.ended.PushBack(added)
+	added.element = s.ended.PushBack(added)
 	if len(added.result.tokens) > 0 {
-		added.answerPlace = s.answers.PushBack(added)
+		added.answerElement = s.answers.PushBack(added)
 		s.tokens += len(added.result.tokens)
 	}
 }
--- a/internal/requestledger/state.go
+++ b/internal/requestledger/state.go
@@ -10,40 +10,39 @@
 	"github.com/hillfork/hillfork/internal/shard"
 )
 
-// Bounds of a shard's state. All are part of the fold: every node must use the same.
+// Limits of a shard's state. All are part of the fold: every node must use the same values.
 const (
-	// Retention is how long the end of a request is kept at least, by the owners' clocks.
+	// Retention is the minimum time that the result of a request is kept, measured by the owners' clocks.
 	Retention = time.Hour
-	// MinEndedKeys is how many of the newest ended requests are kept whatever the clocks say.
+	// MinEndedKeys is the number of most recently ended requests that are kept regardless of Retention.
 	MinEndedKeys = 8192
-	// MaxKeys bounds the requests of a shard, running and ended. At the bound a new request is refused as not run.
+	// MaxKeys limits the requests of a shard, running and ended. At the limit a new request is refused as not run.
 	MaxKeys = 16384
-	// MaxAnswerTokens bounds the tokens kept over all answers of a shard. The oldest answers go first; their requests are
-	// still kept and never run again.
+	// MaxAnswerTokens limits the tokens kept over all answers of a shard. The oldest answers are dropped first; their
+	// requests are still kept and never run again.
 	MaxAnswerTokens = 512 * 1024
-	// MaxClosedAsks bounds the asks answered as not run that are remembered for one request. At the bound the request can
-	// not be started any more until it is forgotten.
+	// MaxClosedAsks limits the asks answered as not run that are remembered for one request. At the limit the request
+	// cannot be started again until its entry is removed.
 	MaxClosedAsks = 64
 )
 
-// Verdict is what the fold made of a record.
+// Verdict is the result of folding a record.
 type Verdict uint8
 
-// Verdicts of the fold.
 const (
-	// VerdictApplied says that the record took effect.
+	// VerdictApplied means that the record took effect.
 	VerdictApplied Verdict = iota + 1
-	// VerdictExists says that the request had been started or ended by another record.
+	// VerdictExists means that another record had started or ended the request.
 	VerdictExists
-	// VerdictClosed says that the ask had been answered as not run.
+	// VerdictClosed means that the ask had been answered as not run.
 	VerdictClosed
-	// VerdictConflict says that the request was recorded with other content.
+	// VerdictConflict means that the request was recorded with other content.
 	VerdictConflict
-	// VerdictFull says that the shard or the request holds as much as it may.
+	// VerdictFull means that the shard or the request has reached its limit.
 	VerdictFull
-	// VerdictNotStarted says that a Finish names an ask that was not started in its epoch.
+	// VerdictNotStarted means that a Finish is for an ask that was not started in its epoch.
 	VerdictNotStarted
-	// VerdictUnreadable says that the record could not be decoded and was skipped.
+	// VerdictUnreadable means that the record could not be decoded and was skipped.
 	VerdictUnreadable
 )
 
@@ -52,7 +51,7 @@
 	requestID string
 }
 
-// entry is what is known of one request.
+// entry is the recorded state of one request.
 type entry struct {
 	key     key
 	running bool
@@ -60,21 +59,22 @@
 	ask    uint64
 	epoch  uint64
 	digest []byte
-	// result is the end; it is set when running is not.
+	// result is valid only if running is false.
 	result result
-	// answerDropped says that the answer was completed but its tokens are no longer kept.
+	// answerDropped reports that the request completed but the tokens of its answer are no longer kept.
 	answerDropped bool
-	// ownerLost says that the shard was taken over while the request ran; its answer may still be handed in.
+	// ownerLost reports that the shard was taken over while the request ran; the earlier owner may still forward its
+	// answer.
 	ownerLost bool
-	// closed are the asks proven not run.
+	// closed holds the asks proven not to have run.
 	closed  []uint64
 	endedAt int64
-	// place is the entry's element in State.running or State.ended; answerPlace is its element in State.answers.
-	place       *list.Element
-	answerPlace *list.Element
+	// element is the entry's element in State.running or State.ended; answerElement is its element in State.answers.
+	element       *list.Element
+	answerElement *list.Element
 }
 
-// result is the end of a request.
+// result is the recorded result of a request.
 type result struct {
 	outcome          peerapi.Outcome
 	reason           string
@@ -132,20 +132,21 @@
 	return VerdictUnreadable
 }
 
-// enterEpoch ends as unknown what an earlier owner left running: no record of its epoch can be valid any more.
+// enterEpoch ends as unknown all requests that an earlier owner left running: no record of the earlier epoch can be
+// valid any more.
 func (s *State) enterEpoch(epoch uint64) {
 	if epoch <= s.epoch {
 		return
 	}
 	s.epoch = epoch
-	for place := s.running.Front(); place != nil; place = s.running.Front() {
-		left := place.Value.(*entry)
-		s.end(left, ownerLost())
-		left.ownerLost = true
+	for element := s.running.Front(); element != nil; element = s.running.Front() {
+		interrupted := element.Value.(*entry)
+		s.end(interrupted, ownerLostResult())
+		interrupted.ownerLost = true
 	}
 }
 
-func ownerLost() result {
+func ownerLostResult() result {
 	return result{outcome: peerapi.OutcomeUnknown, reason: "the owner of the request was lost while it ran"}
 }
 
@@ -160,18 +161,18 @@
 		known = &entry{key: name}
 		s.entries[name] = known
 	} else {
-		s.ended.Remove(known.place)
+		s.ended.Remove(known.element)
 	}
 	known.running = true
 	known.ask = body.Ask
 	known.epoch = epoch
 	known.digest = body.Digest
 	known.result = result{}
-	known.place = s.running.PushBack(known)
+	known.element = s.running.PushBack(known)
 	return VerdictApplied
 }
 
-// admitStart tells whether a Start would be valid now.
+// admitStart returns the verdict that a Start would get now.
 func (s *State) admitStart(known *entry, body startRecord) Verdict {
 	if known == nil {
 		if len(s.entries) >= MaxKeys {
@@ -194,20 +195,21 @@
 	return VerdictApplied
 }
 
-// conflicts tells whether the request was started with other content. A request that was only cancelled has none.
+// conflicts reports whether the request was started with other content. A request that was only cancelled has no
+// content to compare.
 func (e *entry) conflicts(digest []byte) bool {
 	return e.digest != nil && !bytes.Equal(e.digest, digest)
 }
 
 func (s *State) finish(epoch uint64, body finishRecord) Verdict {
 	s.advance(body.AtUnixMillis)
-	how := result{body.Outcome, body.Reason, body.RetryAfterMillis, body.Tokens, body.Spans}
+	final := result{body.Outcome, body.Reason, body.RetryAfterMillis, body.Tokens, body.Spans}
 	known := s.entries[key{body.Workload, body.RequestID}]
 	if body.StartEpoch != 0 {
-		return s.finishLost(known, &body, how)
+		return s.finishAfterTakeover(known, &body, final)
 	}
 	if known != nil && known.running && known.ask == body.Ask && known.epoch == epoch {
-		s.end(known, how)
+		s.end(known, final)
 		return VerdictApplied
 	}
 	if body.Outcome != peerapi.OutcomeNotRun {
@@ -216,9 +218,9 @@
 	return s.cancel(cancelRecord{body.Workload, body.RequestID, body.Ask, body.AtUnixMillis})
 }
 
-// finishLost takes the answer of a request whose owner was superseded while it ran. That owner alone knows it, and nobody
-// was told more than that the request may have run.
-func (s *State) finishLost(known *entry, body *finishRecord, how result) Verdict {
+// finishAfterTakeover records the answer of a request whose owner was superseded while it ran. Only that owner has the
+// answer, and every caller so far was answered only that the request may have run.
+func (s *State) finishAfterTakeover(known *entry, body *finishRecord, final result) Verdict {
 	if known == nil || known.ask != body.Ask || known.epoch != body.StartEpoch {
 		return VerdictNotStarted
 	}
@@ -226,8 +228,8 @@
 		return VerdictExists
 	}
 	known.ownerLost = false
-	s.ended.Remove(known.place)
-	s.end(known, how)
+	s.ended.Remove(known.element)
+	s.end(known, final)
 	return VerdictApplied
 }
 
@@ -251,34 +253,34 @@
 	return VerdictApplied
 }
 
-// close remembers that the ask was answered as not run. Past the bound nothing needs to be remembered, for then no ask of
-// the request can be started.
+// close marks the ask as answered as not run. Beyond MaxClosedAsks nothing needs to be remembered, because then no ask
+// of the request can be started.
 func (e *entry) close(ask uint64) {
 	if len(e.closed) < MaxClosedAsks && !slices.Contains(e.closed, ask) {
 		e.closed = append(e.closed, ask)
 	}
 }
 
-// end moves an entry to the ended ones.
-func (s *State) end(ending *entry, how result) {
+// end records the result of an entry and moves the entry to the ended ones.
+func (s *State) end(ending *entry, final result) {
 	if ending.running {
-		s.running.Remove(ending.place)
+		s.running.Remove(ending.element)
 	}
 	ending.running = false
-	ending.result = how
+	ending.result = final
 	ending.endedAt = s.clock
-	if how.outcome == peerapi.OutcomeNotRun {
+	if final.outcome == peerapi.OutcomeNotRun {
 		ending.close(ending.ask)
 	}
-	ending.place = s.ended.PushBack(ending)
-	if len(how.tokens) > 0 {
-		ending.answerPlace = s.answers.PushBack(ending)
-		s.tokens += len(how.tokens)
+	ending.element = s.ended.PushBack(ending)
+	if len(final.tokens) > 0 {
+		ending.answerElement = s.answers.PushBack(ending)
+		s.tokens += len(final.tokens)
 	}
 	s.dropAnswers()
 }
 
-// dropAnswers forgets the tokens of the oldest answers while there are too many.
+// dropAnswers drops the tokens of the oldest answers while the total exceeds MaxAnswerTokens.
 func (s *State) dropAnswers() {
 	for s.tokens > MaxAnswerTokens && s.answers.Len() > 1 {
 		oldest := s.answers.Front().Value.(*entry)
@@ -288,17 +290,17 @@
 }
 
 func (s *State) dropAnswer(holder *entry) {
-	if holder.answerPlace == nil {
+	if holder.answerElement == nil {
 		return
 	}
 	s.tokens -= len(holder.result.tokens)
-	s.answers.Remove(holder.answerPlace)
-	holder.answerPlace = nil
+	s.answers.Remove(holder.answerElement)
+	holder.answerElement = nil
 	holder.result.tokens = nil
 	holder.result.spans = nil
 }
 
-// advance moves the fold's clock on and forgets what is past its retention.
+// advance advances the fold's clock and removes the entries whose retention has expired.
 func (s *State) advance(at int64) {
 	s.clock = max(s.clock, at)
 	for s.ended.Len() > MinEndedKeys {
@@ -307,7 +309,7 @@
 			return
 		}
 		s.dropAnswer(oldest)
-		s.ended.Remove(oldest.place)
+		s.ended.Remove(oldest.element)
 		delete(s.entries, oldest.key)
 	}
 }
--- a/internal/requestledger/state_test.go
+++ b/internal/requestledger/state_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestRetention fills a shard: nothing is forgotten before its time, new requests are refused when all are still kept, and
-// answers go before the requests do.
+// TestRetention fills a shard: nothing is removed before its retention ends, new requests are refused while all entries
+// are still kept, and answers are dropped before their requests are.
 func TestRetention(t *testing.T) {
 	is := is.New(t)
 	state := NewState()
@@ -44,8 +44,8 @@
 		is.Equal(fold(state, 1, kindFinish, finishOf(id(i), 1, 0, make([]uint32, 64)...)), VerdictApplied)
 	}
 	is.True(state.tokens <= MaxAnswerTokens)
-	is.Equal(state.look(key{"filing", id(0)}, 2, []byte("d"), 1).result.outcome, peerapi.OutcomeUnknown) // its answer went first
-	is.Equal(state.look(key{"filing", id(MaxKeys - 1)}, 2, []byte("d"), 1).result.outcome, peerapi.OutcomeCompleted)
+	is.Equal(state.lookup(key{"filing", id(0)}, 2, []byte("d"), 1).result.outcome, peerapi.OutcomeUnknown) // its answer was dropped first
+	is.Equal(state.lookup(key{"filing", id(MaxKeys - 1)}, 2, []byte("d"), 1).result.outcome, peerapi.OutcomeCompleted)
 
 	almost := Retention.Milliseconds() - 1
 	is.Equal(fold(state, 1, kindStart, startOf("new", 1, almost)), VerdictFull)
@@ -53,13 +53,14 @@
 	is.Equal(fold(state, 1, kindStart, startOf(id(0), 2, almost)), VerdictExists)
 
 	is.Equal(fold(state, 1, kindStart, startOf("new", 1, almost+1)), VerdictApplied)
-	is.Equal(state.ended.Len(), MinEndedKeys) // the newest are kept whatever the clock says
+	is.Equal(state.ended.Len(), MinEndedKeys) // the most recently ended are kept regardless of the clock
 	is.Equal(fold(state, 1, kindStart, startOf(id(MaxKeys-1), 2, 1<<60)), VerdictExists)
 	is.Equal(fold(state, 1, kindStart, startOf(id(0), 2, 0)), VerdictApplied)
 	is.Equal(len(state.entries), state.running.Len()+state.ended.Len())
 }
 
-// TestNewEpochEndsRunning checks that what an earlier owner left running is ended, and does not count as running for ever.
+// TestNewEpochEndsRunning checks that requests left running by an earlier owner are ended and do not count as running
+// forever.
 func TestNewEpochEndsRunning(t *testing.T) {
 	is := is.New(t)
 	state := NewState()
@@ -68,22 +69,22 @@
 	is.Equal(state.running.Len(), 1)
 	is.Equal(state.ended.Len(), 1)
 	is.Equal(fold(state, 2, kindFinish, finishOf("a", 1, 0, 1)), VerdictNotStarted)
-	is.Equal(state.look(key{"filing", "a"}, 1, []byte("d"), 2).result.outcome, peerapi.OutcomeUnknown)
-
-	// Only the answer of that very run may still be handed in, once.
-	handed := finishOf("a", 1, 0, 1)
-	handed.StartEpoch = 2
-	is.Equal(fold(state, 2, kindFinish, handed), VerdictNotStarted)
-	handed.StartEpoch = 1
-	handed.Ask = 2
-	is.Equal(fold(state, 2, kindFinish, handed), VerdictNotStarted)
-	handed.Ask = 1
-	is.Equal(fold(state, 2, kindFinish, handed), VerdictApplied)
-	is.Equal(fold(state, 2, kindFinish, handed), VerdictExists)
-	is.Equal(state.look(key{"filing", "a"}, 1, []byte("d"), 2).result.outcome, peerapi.OutcomeCompleted)
-	handed.RequestID = "b"
-	handed.StartEpoch = 2
-	is.Equal(fold(state, 2, kindFinish, handed), VerdictExists) // its owner is not lost
+	is.Equal(state.lookup(key{"filing", "a"}, 1, []byte("d"), 2).result.outcome, peerapi.OutcomeUnknown)
+
+	// Only the answer of the same run may still be forwarded, and only once.
+	forwarded := finishOf("a", 1, 0, 1)
+	forwarded.StartEpoch = 2
+	is.Equal(fold(state, 2, kindFinish, forwarded), VerdictNotStarted)
+	forwarded.StartEpoch = 1
+	forwarded.Ask = 2
+	is.Equal(fold(state, 2, kindFinish, forwarded), VerdictNotStarted)
+	forwarded.Ask = 1
+	is.Equal(fold(state, 2, kindFinish, forwarded), VerdictApplied)
+	is.Equal(fold(state, 2, kindFinish, forwarded), VerdictExists)
+	is.Equal(state.lookup(key{"filing", "a"}, 1, []byte("d"), 2).result.outcome, peerapi.OutcomeCompleted)
+	forwarded.RequestID = "b"
+	forwarded.StartEpoch = 2
+	is.Equal(fold(state, 2, kindFinish, forwarded), VerdictExists) // its owner was not lost
 }
 
 func TestClosedAsksAreBounded(t *testing.T) {
@@ -92,13 +93,14 @@
 	for ask := range uint64(MaxClosedAsks + 3) {
 		is.Equal(fold(state, 1, kindCancel, &cancelRecord{Workload: "filing", RequestID: "a", Ask: ask}), VerdictApplied)
 	}
-	// Beyond the bound no ask is remembered, and none can be started.
+	// Beyond the limit no ask is remembered, and none can be started.
 	for ask := range uint64(MaxClosedAsks + 9) {
 		is.True(fold(state, 1, kindStart, startOf("a", ask, 0)) != VerdictApplied)
 	}
 }
 
-// TestFoldProperties folds random records, with a snapshot restored at a random place.
+// TestFoldProperties folds random records and restores a snapshot taken at a random point. No ask may start twice or
+// after it was closed, and the restored state must fold the rest identically.
 func TestFoldProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.NewRelaxed(t)
@@ -131,7 +133,7 @@
 				t.Fatal("an ask was started twice")
 			}
 			if i >= snapshotAt && restored.Apply(record) != verdict {
-				t.Fatal("the restored state folds otherwise")
+				t.Fatal("the restored state returned a different verdict")
 			}
 		}
 		if snapshotAt < records {
@@ -171,7 +173,7 @@
 	return shard.Record{Epoch: epoch, Kind: kind, Body: encoded}, id, ask
 }
 
-// FuzzState folds and restores any bytes: nothing panics, and what folds can be snapshotted and restored.
+// FuzzState restores and folds arbitrary bytes: nothing may panic, and the resulting state can be encoded and restored.
 func FuzzState(f *testing.F) {
 	for kind, body := range map[uint8]encodable{
 		kindStart: startOf("a", 1, 5), kindFinish: finishOf("a", 1, 5, 1, 2), kindCancel: &cancelRecord{RequestID: "a"},
