--- a/internal/requestledger/execute.go
+++ b/internal/requestledger/execute.go
@@ -36,7 +36,7 @@
 
 // start appends a Start record unless the log already holds the result of the ask. started reports that the Start is
 // valid and that the request must now be dispatched.
-func (s *Service) start(ctx context.Context, owner shard.Owner, run *run) (recorded result, started bool, err error) {
+func (s *Service) start(ctx context.Context, owner shard.Owner, run *run) (final result, started bool, err error) {
 	for {
 		final, known, err := s.recordedResult(ctx, owner, run)
 		if known || err != nil {
--- a/internal/shard/batch.go
+++ b/internal/shard/batch.go
@@ -28,29 +28,29 @@
 	close(w.done)
 }
 
-// batch is what one append writes: the records of one or more Append calls, or a release.
+// batch is the content of one append: the records of one or more Append calls, or a release.
 type batch struct {
 	waiters  []*waiter
 	payloads [][]byte
-	// bytes adds up the payloads.
+	// bytes is the total size of the payloads.
 	bytes int
 	// first is the sequence number of the first record.
 	first    uint64
 	outcomes []any
-	// ctx ends when the fate of the batch is known or the owner has ended; settled ends it.
+	// ctx is cancelled by settled when it is known whether the batch took effect, or when the owner has ended.
 	ctx     context.Context
 	settled context.CancelFunc
 }
 
-// isSettled tells whether the fate of the batch is known.
+// isSettled reports whether it is known if the batch took effect.
 func (b *batch) isSettled() bool { return b.ctx.Err() != nil }
 
-// isRelease tells whether the batch is a release rather than records.
+// isRelease reports whether the batch is a release instead of records.
 func (b *batch) isRelease() bool { return b.waiters[0].kind == typeRelease }
 
-// add takes the outcome of the record with this sequence number, and tells whether the batch is now whole. Sequence
-// numbers are folded in order, so that the number of outcomes tells which comes next.
-func (b *batch) add(sequence uint64, outcome any) (whole, ok bool) {
+// add adds the outcome of the record with this sequence number and reports whether the batch is now complete. Sequence
+// numbers are folded in order, so the number of outcomes determines the next one; ok is false for any other number.
+func (b *batch) add(sequence uint64, outcome any) (complete, ok bool) {
 	if b.isRelease() || sequence != b.first+uint64(len(b.outcomes)) {
 		return false, false
 	}
@@ -58,7 +58,7 @@
 	return len(b.outcomes) == len(b.payloads), true
 }
 
-// succeed hands every waiter its outcomes.
+// succeed returns their outcomes to all waiters.
 func (b *batch) succeed() {
 	start := 0
 	for _, w := range b.waiters {
@@ -69,8 +69,8 @@
 	b.settled()
 }
 
-// fail ends the batch early. Waiters whose records are all folded succeed; those with none folded get err; a record of
-// the others took effect, which leaves only ErrUncertain.
+// fail ends the batch early. Waiters whose records are all folded succeed, and those with no folded record get err. If
+// only some records of a waiter took effect, it gets ErrUncertain.
 func (b *batch) fail(err error) {
 	start := 0
 	for _, w := range b.waiters {
--- a/internal/shard/batch_test.go
+++ b/internal/shard/batch_test.go
@@ -10,9 +10,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestFailedBatchTellsEveryCallItsOwnFate covers a log that does not keep an append together, too: a call of which some
-// records took effect and others did not must not be told that it had none.
-func TestFailedBatchTellsEveryCallItsOwnFate(t *testing.T) {
+// TestFailedBatchReportsResultPerCall fails a batch of which only some records were folded, as with a log that does not
+// keep an append together. A call of which some records took effect must not get an error that says that none did.
+func TestFailedBatchReportsResultPerCall(t *testing.T) {
 	for folded, want := range [][]error{
 		{ErrNotOwner, ErrNotOwner},
 		{ErrUncertain, ErrNotOwner},
--- a/internal/shard/bench_test.go
+++ b/internal/shard/bench_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// BenchmarkAppend measures one owner with several writers, each of which waits for its record.
+// BenchmarkAppend measures one owner with several concurrent writers, each of which waits for its record.
 func BenchmarkAppend(b *testing.B) {
 	for _, writers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("writers=%d", writers), func(b *testing.B) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// BenchmarkRecovery measures what opening a shard reads after streams of several lengths. The state is a counter, so
-// that its snapshot does not grow with the stream.
+// BenchmarkRecovery measures how much is read to open a shard, for streams of several lengths. The state is a counter,
+// so that its snapshot does not grow with the stream.
 func BenchmarkRecovery(b *testing.B) {
 	const never = 1 << 40
 	for _, snapshots := range []bool{false, true} {
@@ -64,7 +64,7 @@
 				b.ResetTimer()
 				for range b.N {
 					b.StopTimer()
-					config.Log = copyLog(log.streams) // without the claims of earlier rounds
+					config.Log = copyLog(log.streams) // without the claims of earlier iterations
 					b.StartTimer()
 					m := NewManager(config)
 					open(b, m)
@@ -79,7 +79,7 @@
 	}
 }
 
-// writeRecords has a process write a stream and lose it without a release.
+// writeRecords writes a stream with one process, which then closes without a release.
 func writeRecords(b *testing.B, config Config, length int) {
 	m := NewManager(config)
 	defer m.Close()
@@ -94,7 +94,7 @@
 		if _, err := o.Append(context.Background(), proposals...); err != nil {
 			b.Fatal(err)
 		}
-		time.Sleep(time.Millisecond) // the snapshotter keeps up, as it does at the rate of a real log
+		time.Sleep(time.Millisecond) // lets the snapshotter keep up, as it does at the rate of a real log
 	}
 }
 
--- a/internal/shard/claim.go
+++ b/internal/shard/claim.go
@@ -13,10 +13,10 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// errClaimLost says that another process claimed the epoch first.
+// errClaimLost is returned if another process claimed the epoch first.
 var errClaimLost = errors.New("claim was lost to another process")
 
-// claimant claims the epoch after the one that a replica stands in.
+// claimant claims the epoch that follows the current epoch of a replica.
 type claimant struct {
 	log      platform.Log
 	stream   string
@@ -26,8 +26,9 @@
 	logger   *log.Logger
 }
 
-// claim appends a claim until the replica has folded a claim of that epoch, this one or another. It returns errClaimLost
-// in the latter case. A claim whose answer is lost is sent again; the fold takes the first copy and voids the others.
+// claim appends a claim until the replica has folded a claim of that epoch. It returns errClaimLost if another
+// process's claim was folded first. A claim whose response is lost is appended again; the fold accepts the first copy
+// and voids the others.
 func (c *claimant) claim(ctx context.Context, r *replica) error {
 	epoch := r.fold.Epoch() + 1
 	nonce := rand.Uint64()
@@ -43,9 +44,9 @@
 	if err != nil {
 		return err
 	}
-	pauses := newBackoff()
+	delays := newBackoff()
 	for {
-		err := c.try(ctx, r, payload)
+		err := c.tryOnce(ctx, r, payload)
 		if r.fold.ownedBy(epoch, nonce) {
 			return nil
 		}
@@ -53,16 +54,16 @@
 			return errClaimLost
 		}
 		if err != nil {
-			errorlog.Warn(c.logger, "claim failed", err, "stream", c.stream)
+			errorlog.Warn(c.logger, "appending the claim failed", err, "stream", c.stream)
 		}
-		if !pause.For(ctx, pauses.NextBackOff()) {
+		if !pause.For(ctx, delays.NextBackOff()) {
 			return oops.With("stream", c.stream).Wrapf(errors.Join(ctx.Err(), err), "claim")
 		}
 	}
 }
 
-// try appends the claim once and folds what the stream then holds.
-func (c *claimant) try(ctx context.Context, r *replica, payload []byte) error {
+// tryOnce appends the claim once and folds the new entries of the stream.
+func (c *claimant) tryOnce(ctx context.Context, r *replica, payload []byte) error {
 	attempt, cancel := context.WithTimeout(ctx, c.settings.AppendTimeout)
 	defer cancel()
 	first, err := c.log.Append(attempt, c.stream, [][]byte{payload})
--- a/internal/shard/counters.go
+++ b/internal/shard/counters.go
@@ -6,40 +6,41 @@
 	"github.com/hillfork/hillfork/internal/metric"
 )
 
-// Counters counts the work of all shards of a Manager.
+// Counters counts the operations of all shards of a Manager.
 type Counters struct {
-	// Opens counts shards claimed; OpenMicros is the time their opening took in all, in microseconds.
+	// Opens counts the shards claimed; OpenMicros is the total time spent opening them, in microseconds.
 	Opens      atomic.Uint64
 	OpenMicros atomic.Uint64
-	// OpenEntries and OpenBytes count what opening shards read from the log, snapshots included.
+	// OpenEntries and OpenBytes count what was read from the log to open shards, including snapshots.
 	OpenEntries atomic.Uint64
 	OpenBytes   atomic.Uint64
-	// ClaimsLost counts claims that another process won, and Superseded owned shards that another process took.
+	// ClaimsLost counts claims that another process won, and Superseded counts owned shards that another process
+	// claimed.
 	ClaimsLost atomic.Uint64
 	Superseded atomic.Uint64
 	Released   atomic.Uint64
-	// Appends counts calls of the log, Records the records in them, AppendBytes their payload.
+	// Appends counts append calls to the log, Records the records in them, and AppendBytes their payload bytes.
 	Appends     atomic.Uint64
 	Records     atomic.Uint64
 	AppendBytes atomic.Uint64
-	// AppendRetries counts appends that were sent again since their fate was not known.
+	// AppendRetries counts appends that were retried because it was unknown whether they took effect.
 	AppendRetries atomic.Uint64
-	// Reads counts reads of main streams of owned shards and ReadBytes the payload they returned.
+	// Reads counts reads of the main streams of owned shards, and ReadBytes the payload bytes returned.
 	Reads     atomic.Uint64
 	ReadBytes atomic.Uint64
-	// Void, Gaps and Garbage count entries without effect that owners folded.
+	// Void, Gaps and Garbage count folded entries that had no effect.
 	Void    atomic.Uint64
 	Gaps    atomic.Uint64
 	Garbage atomic.Uint64
-	// Snapshots and SnapshotBytes count what was written, SnapshotFailures and SnapshotsSkipped what failed to be
-	// written or was found unusable.
+	// Snapshots and SnapshotBytes count written snapshots, SnapshotFailures those that could not be written, and
+	// SnapshotsSkipped those that were unusable when read.
 	Snapshots        atomic.Uint64
 	SnapshotBytes    atomic.Uint64
 	SnapshotFailures atomic.Uint64
 	SnapshotsSkipped atomic.Uint64
 }
 
-// Metrics returns the counters as they stand.
+// Metrics returns the current values of the counters.
 func (c *Counters) Metrics() []metric.Metric { return metric.Read(c.list()) }
 
 func (c *Counters) list() []metric.Counter {
--- a/internal/shard/crash_test.go
+++ b/internal/shard/crash_test.go
@@ -14,8 +14,8 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// crashAt has a process die in a call of the log, counted from 0, with that effect of the call. The channel is closed when
-// it dies.
+// crashAt makes a process crash in the given call to the log, counted from 0, with the given fault for that call. The
+// channel is closed when the process crashes.
 func crashAt(log *fakeLog, call int, effect fault) <-chan struct{} {
 	crashed := make(chan struct{})
 	count := 0
@@ -34,9 +34,9 @@
 	return crashed
 }
 
-// live has a process claim the stream, write, snapshot and release, until it dies. It returns what was acknowledged and
-// what was refused, and whether it lived to the end.
-func live(log *fakeLog, crashed <-chan struct{}) (acknowledged, refused []string, survived bool) {
+// runUntilCrash has a process claim the stream, write, snapshot and release, until it crashes. It returns the
+// acknowledged and the refused records, and whether the process finished without a crash.
+func runUntilCrash(log *fakeLog, crashed <-chan struct{}) (acknowledged, refused []string, completed bool) {
 	config := testConfig(log, "a")
 	config.Settings = Settings{SnapshotEvery: 2}
 	m := NewManager(config)
@@ -68,43 +68,46 @@
 	return acknowledged, refused, o.Release(ctx) == nil && ctx.Err() == nil
 }
 
-// succeed has the next process claim the stream at once and write, also after a late effect of the dead one.
-func succeed(is *is.I, t *testing.T, log *fakeLog, acknowledged, refused []string) {
+// continueAsNextOwner has the next process claim the stream immediately and write, before and after a delayed append of
+// the crashed process takes effect.
+func continueAsNextOwner(is *is.I, t *testing.T, log *fakeLog, acknowledged, refused []string) {
 	m := NewManager(testConfig(log, "b"))
 	defer m.Close()
 	o := open(t, m)
 	_, err := o.Append(context.Background(), proposal("b0"))
 	is.NoErr(err)
-	time.Sleep(2 * lateEffect)
+	time.Sleep(2 * appendDelay)
 	_, err = o.Append(context.Background(), proposal("b1"))
 	is.NoErr(err)
-	folded, _ := refold(log.contents(testStream))
+	folded, _ := foldAll(log.contents(testStream))
 	is.Equal(bodies(o), folded)
 	is.Equal(folded[len(folded)-2:], []string{"b0", "b1"})
 	written := folded[:len(folded)-2]
 	is.True(len(written) >= len(acknowledged))
-	is.Equal(written, []string{"a0", "a1", "a2"}[:len(written)]) // in order, each once
+	is.Equal(written, []string{"a0", "a1", "a2"}[:len(written)]) // in order and without repeats
 	for _, body := range refused {
 		is.True(!slices.Contains(folded, body))
 	}
 }
 
-func TestEveryCrashPointLeavesAStreamThatTheNextOwnerContinues(t *testing.T) {
+// TestNextOwnerContinuesAfterEveryCrashPoint crashes a process in each of its appends, with the append lost, applied or
+// delayed. The next owner must fold every acknowledged record once and no refused one.
+func TestNextOwnerContinuesAfterEveryCrashPoint(t *testing.T) {
 	const appends = 6 // a claim, three records, a snapshot, a release
 	for _, effect := range []fault{faultLostBefore, faultLostAfter, faultDelayed} {
 		for call := 0; ; call++ {
-			survived := false
+			completed := false
 			name := fmt.Sprintf("call %d, effect %d", call, effect)
 			t.Run(name, func(t *testing.T) {
-				inBubble(t, func(is *is.I, log *fakeLog) {
+				inVirtualTime(t, func(is *is.I, log *fakeLog) {
 					var acknowledged, refused []string
-					acknowledged, refused, survived = live(log, crashAt(log, call, effect))
+					acknowledged, refused, completed = runUntilCrash(log, crashAt(log, call, effect))
 					log.setFault(nil)
-					succeed(is, t, log, acknowledged, refused)
+					continueAsNextOwner(is, t, log, acknowledged, refused)
 				})
 			})
-			if survived {
-				is.New(t).True(call >= appends) // every append of a life was a crash point
+			if completed {
+				is.New(t).True(call >= appends) // every append of the process was a crash point
 				break
 			}
 			if t.Failed() {
--- a/internal/shard/envelope.go
+++ b/internal/shard/envelope.go
@@ -11,20 +11,19 @@
 // formatVersion is the version of the envelope that this code writes and the only one it reads.
 const formatVersion = 1
 
-// entryType tells what an entry of a shard's stream does.
+// entryType is the type of an entry of a shard's stream.
 type entryType uint8
 
-// Types of entry.
 const (
 	typeClaim entryType = iota + 1
 	typeRelease
 	typeRecord
 )
 
-// errBadEnvelope says that a payload is no envelope of a known format.
-var errBadEnvelope = errors.New("payload is no shard entry of a known format")
+// errBadEnvelope is returned for a payload that is not an entry of a known format.
+var errBadEnvelope = errors.New("payload is not a shard entry of a known format")
 
-// envelope is one entry of a shard's stream. Fields that its type does not use are zero.
+// envelope is one entry of a shard's stream. Fields that the entry's type does not use are zero.
 //
 //msgp:tuple envelope
 type envelope struct {
@@ -32,8 +31,8 @@
 	Type     uint8
 	Epoch    uint64
 	Sequence uint64
-	// Nonce is drawn at random for every claim, so that a claimant knows its own claim from that of any other, also
-	// when identities were given out twice.
+	// Nonce is a random number for each claim, by which a claimant distinguishes its own claim from any other, even if
+	// two processes have the same identity.
 	Nonce       uint64
 	Node        string
 	Incarnation uint64
@@ -42,7 +41,8 @@
 	Body        []byte
 }
 
-// position is what a fold knows besides the counters: where it stands and who owns the shard there.
+// position is the state of a fold apart from its counters: the next offset, and the epoch and owner of the shard at
+// that offset.
 //
 //msgp:tuple position
 type position struct {
@@ -56,18 +56,18 @@
 	LastSequence uint64
 }
 
-// snapshotChunk is one entry of a shard's snapshot stream: a piece of an encoded snapshotBody.
+// snapshotChunk is one entry of a shard's snapshot stream: a part of an encoded snapshotBody.
 //
 //msgp:tuple snapshotChunk
 type snapshotChunk struct {
 	Format uint8
-	// Writer tells the chunks of one snapshot from those of another.
+	// Writer identifies the snapshot that the chunk belongs to.
 	Writer uint64
 	// Next is the first offset of the main stream that the snapshot does not cover.
 	Next  int64
 	Index uint32
 	Count uint32
-	// Checksum is the xxhash of the whole encoded body.
+	// Checksum is the xxhash of the complete encoded body.
 	Checksum uint64
 	Data     []byte
 }
@@ -80,13 +80,13 @@
 	State    []byte
 }
 
-// encode returns the bytes of an envelope.
+// encode returns the encoded envelope.
 func (z *envelope) encode() ([]byte, error) {
 	z.Format = formatVersion
 	return z.MarshalMsg(nil)
 }
 
-// decodeEnvelope reads an envelope. Trailing bytes, other formats and unknown types are errors.
+// decodeEnvelope decodes an envelope. Trailing bytes, other formats and unknown types are errors.
 func decodeEnvelope(payload []byte) (envelope, error) {
 	var entry envelope
 	if err := decodeWhole(&entry, payload); err != nil {
@@ -99,7 +99,7 @@
 	return entry, nil
 }
 
-// decodeWhole reads a message that must fill the payload.
+// decodeWhole decodes a message that must fill the payload; trailing bytes are an error.
 func decodeWhole(into msgp.Unmarshaler, payload []byte) error {
 	rest, err := into.UnmarshalMsg(payload)
 	if err != nil {
--- a/internal/shard/fold.go
+++ b/internal/shard/fold.go
@@ -2,28 +2,28 @@
 
 import "github.com/hillfork/hillfork/internal/mutation"
 
-// Verdict is what the fold found an entry to be.
+// Verdict is the classification of an entry by the fold.
 type Verdict uint8
 
-// Verdicts. Only claims, releases and records of the first three kinds change anything.
+// Verdicts. Only entries with one of the first three verdicts change anything.
 const (
 	// VerdictClaim is a valid claim: a new epoch began.
 	VerdictClaim Verdict = iota + 1
-	// VerdictRelease is a valid release: the epoch has no owner any more.
+	// VerdictRelease is a valid release: the epoch no longer has an owner.
 	VerdictRelease
 	// VerdictRecord is a valid record.
 	VerdictRecord
-	// VerdictSuperseded is an entry of an epoch that is not, or no longer, the current one.
+	// VerdictSuperseded is an entry whose epoch is not the current one.
 	VerdictSuperseded
-	// VerdictRepeat is a record whose sequence number was folded before.
+	// VerdictRepeat is a record whose sequence number was already folded.
 	VerdictRepeat
-	// VerdictGap is a record whose predecessor is missing, which no correct owner writes.
+	// VerdictGap is a record whose predecessor is missing; no correct owner writes one.
 	VerdictGap
-	// VerdictGarbage is a payload that is no entry of a known format.
+	// VerdictGarbage is a payload that is not an entry of a known format.
 	VerdictGarbage
 )
 
-// FoldCounts counts the entries that a fold has seen, by verdict.
+// FoldCounts counts the entries that a fold has processed, by verdict.
 type FoldCounts struct {
 	Valid      uint64
 	Superseded uint64
@@ -32,27 +32,28 @@
 	Garbage    uint64
 }
 
-// Fold decides which entries of a stream are valid. It is a pure function of the entries: every reader of a stream
-// reaches the same verdicts. The zero Fold stands at offset 0 of a stream that nobody owns.
+// Fold decides which entries of a stream are valid. It is a pure function of the entries: every reader of a stream gets
+// the same verdicts. The zero Fold is at offset 0 of a stream without an owner.
 type Fold struct {
 	position  position
 	counts    FoldCounts
 	mutations mutation.Set
 }
 
-// Next is the offset of the entry to be folded next.
+// Next returns the offset of the next entry to fold.
 func (f *Fold) Next() int64 { return f.position.Next }
 
-// Epoch is the current epoch; 0 before the first claim.
+// Epoch returns the current epoch; 0 before the first claim.
 func (f *Fold) Epoch() uint64 { return f.position.Epoch }
 
-// LastSequence is the sequence number of the last valid record of the current epoch.
+// LastSequence returns the sequence number of the last valid record of the current epoch.
 func (f *Fold) LastSequence() uint64 { return f.position.LastSequence }
 
-// Counts tells how many entries this fold has seen. Entries covered by a snapshot are not among them.
+// Counts returns the number of entries that this fold has processed, by verdict. Entries covered by a snapshot are not
+// included.
 func (f *Fold) Counts() FoldCounts { return f.counts }
 
-// Owner returns who claimed the current epoch; false when nobody did or it was released.
+// Owner returns the process that claimed the current epoch; false if there is none or it released the shard.
 func (f *Fold) Owner() (Identity, bool) {
 	identity := Identity{
 		Node:        f.position.Node,
@@ -63,12 +64,12 @@
 	return identity, owned
 }
 
-// ownedBy tells whether the claim with this nonce opened the current epoch and still holds it.
+// ownedBy reports whether the claim with this nonce opened the current epoch and was not released.
 func (f *Fold) ownedBy(epoch, nonce uint64) bool {
 	return f.position.Epoch == epoch && f.position.Nonce == nonce && !f.position.Released
 }
 
-// Advance folds the payload at offset Next. The record is set only where the verdict is VerdictRecord.
+// Advance folds the payload at offset Next. The record is set only if the verdict is VerdictRecord.
 func (f *Fold) Advance(payload []byte) (Verdict, Record) {
 	offset := f.position.Next
 	f.position.Next++
@@ -77,7 +78,7 @@
 		f.counts.Garbage++
 		return VerdictGarbage, Record{}
 	}
-	verdict := f.judge(&entry)
+	verdict := f.evaluate(&entry)
 	f.count(verdict)
 	if verdict != VerdictRecord {
 		return verdict, Record{}
@@ -92,8 +93,8 @@
 	return verdict, record
 }
 
-// judge decides on an entry and takes its effect over into the position.
-func (f *Fold) judge(entry *envelope) Verdict {
+// evaluate returns the verdict on an entry and applies its effect to the position.
+func (f *Fold) evaluate(entry *envelope) Verdict {
 	switch entryType(entry.Type) {
 	case typeClaim:
 		return f.claim(entry)
@@ -120,7 +121,7 @@
 }
 
 func (f *Fold) release(entry *envelope) Verdict {
-	if !f.current(entry) {
+	if !f.isCurrent(entry) {
 		return VerdictSuperseded
 	}
 	f.position.Released = true
@@ -128,11 +129,11 @@
 }
 
 func (f *Fold) record(entry *envelope) Verdict {
-	if !f.current(entry) {
+	if !f.isCurrent(entry) {
 		return VerdictSuperseded
 	}
 	if entry.Epoch != f.position.Epoch {
-		return VerdictRecord // only where the check of epochs is switched off
+		return VerdictRecord // reached only if a mutation disables the epoch check
 	}
 	expected := f.position.LastSequence + 1
 	if f.mutations.Has(mutation.NoSequenceCheck) {
@@ -149,8 +150,8 @@
 	return VerdictRecord
 }
 
-// current tells whether an entry is of the epoch in force. Epoch 0 is nobody's.
-func (f *Fold) current(entry *envelope) bool {
+// isCurrent reports whether an entry belongs to the current epoch. Epoch 0 has no owner.
+func (f *Fold) isCurrent(entry *envelope) bool {
 	if f.mutations.Has(mutation.NoEpochCheck) {
 		return entry.Epoch > 0
 	}
--- a/internal/shard/fold_test.go
+++ b/internal/shard/fold_test.go
@@ -17,7 +17,9 @@
 	return payload
 }
 
-func TestFoldJudgesEveryEntryByItsPlace(t *testing.T) {
+// TestFoldVerdicts checks the verdict on each entry of a stream with superseded, repeated, missing and malformed
+// entries.
+func TestFoldVerdicts(t *testing.T) {
 	is := is.New(t)
 	foreign, err := (&envelope{Format: formatVersion + 1, Type: uint8(typeRecord), Epoch: 2, Sequence: 2}).MarshalMsg(nil)
 	is.NoErr(err)
@@ -26,11 +28,11 @@
 		payload []byte
 		want    Verdict
 	}{
-		{entryOf(t, typeRecord, 0, 1), VerdictSuperseded},  // epoch 0 is nobody's
-		{entryOf(t, typeRelease, 0, 0), VerdictSuperseded}, // nor can it be released
+		{entryOf(t, typeRecord, 0, 1), VerdictSuperseded},  // epoch 0 has no owner
+		{entryOf(t, typeRelease, 0, 0), VerdictSuperseded}, // and cannot be released
 		{entryOf(t, typeClaim, 2, 0), VerdictSuperseded},   // skips an epoch
 		{entryOf(t, typeClaim, 1, 0), VerdictClaim},
-		{entryOf(t, typeClaim, 1, 0), VerdictSuperseded}, // the first wins
+		{entryOf(t, typeClaim, 1, 0), VerdictSuperseded}, // the first claim wins
 		{entryOf(t, typeRecord, 1, 1), VerdictRecord},
 		{entryOf(t, typeRecord, 1, 1), VerdictRepeat},
 		{entryOf(t, typeRecord, 1, 3), VerdictGap},
@@ -40,9 +42,9 @@
 		{append(entryOf(t, typeRecord, 1, 2), 0), VerdictGarbage}, // trailing byte
 		{entryOf(t, typeRecord, 1, 2), VerdictRecord},
 		{entryOf(t, typeClaim, 2, 0), VerdictClaim},
-		{entryOf(t, typeRecord, 1, 3), VerdictSuperseded}, // a paused owner wakes up
+		{entryOf(t, typeRecord, 1, 3), VerdictSuperseded}, // the earlier owner resumes after a pause
 		{entryOf(t, typeRelease, 1, 0), VerdictSuperseded},
-		{entryOf(t, typeRecord, 2, 1), VerdictRecord}, // sequences begin again
+		{entryOf(t, typeRecord, 2, 1), VerdictRecord}, // sequence numbers start again
 		{foreign, VerdictGarbage},
 		{unknown, VerdictGarbage},
 		{entryOf(t, typeRelease, 2, 0), VerdictRelease},
@@ -63,9 +65,11 @@
 	}
 	is.Equal(fold.Counts(), FoldCounts{Valid: 7, Superseded: 8, Repeats: 2, Gaps: 1, Garbage: 5})
 	is.True(fold.ownedBy(3, 300))
-	is.True(!fold.ownedBy(3, 301)) // the same epoch claimed by another
+	is.True(!fold.ownedBy(3, 301)) // the same epoch, claimed by another process
 }
 
+// FuzzFold folds arbitrary payloads after a claim: only valid entries may change the position, and decoding must not
+// panic.
 func FuzzFold(f *testing.F) {
 	f.Add(entryOf(f, typeClaim, 1, 0))
 	f.Add(entryOf(f, typeRecord, 1, 1))
--- a/internal/shard/helpers_test.go
+++ b/internal/shard/helpers_test.go
@@ -15,32 +15,33 @@
 
 var errLost = errors.New("contact lost")
 
-// fault is what happens to one append.
+// fault is the fault of one append.
 type fault int
 
 const (
 	faultNone fault = iota
-	// faultNotSent provably has no effect, faultLostBefore has none, faultLostAfter has taken effect, faultDelayed
-	// takes effect after lateEffect, when the caller has long been told of an error.
+	// faultNotSent is known to have no effect. faultLostBefore has no effect, faultLostAfter takes effect, and
+	// faultDelayed takes effect after appendDelay; the caller of these three gets an error that leaves the effect
+	// unknown.
 	faultNotSent
 	faultLostBefore
 	faultLostAfter
 	faultDelayed
 )
 
-const lateEffect = 200 * time.Millisecond
+const appendDelay = 200 * time.Millisecond
 
-// roundTrip is the time of a call of the log in virtual time.
+// roundTrip is the duration of a call to the log in virtual time.
 const roundTrip = time.Millisecond
 
-// fakeLog is the stand-in of the log with appends that fail as fault says.
+// fakeLog is the stand-in log service with injected append faults.
 type fakeLog struct {
 	*logservice.Service
 	mu      sync.Mutex
 	fault   func(stream string) fault
 	streams map[string][][]byte
-	// fromStart says that the first entry of the test stream was read.
-	fromStart bool
+	// readFromStart reports that the first entry of the test stream was read.
+	readFromStart bool
 }
 
 func newFakeLog() *fakeLog {
@@ -49,21 +50,21 @@
 	return log
 }
 
-// observe keeps every entry that takes effect.
+// observe stores every entry that takes effect.
 func (l *fakeLog) observe(stream string, _ int64, payload []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.streams[stream] = append(l.streams[stream], payload)
 }
 
-// setFault has fault called for every append, one at a time; nil ends the faults.
+// setFault sets the function that returns the fault of each append; calls are serialized. nil disables faults.
 func (l *fakeLog) setFault(fault func(stream string) fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault = fault
 }
 
-// setFaults makes the next appends to the main stream fail in this order.
+// setFaults sets the faults of the next appends to the main stream, in order.
 func (l *fakeLog) setFaults(faults ...fault) {
 	l.setFault(func(stream string) fault {
 		if stream != testStream || len(faults) == 0 {
@@ -92,7 +93,7 @@
 	case faultLostBefore:
 		return 0, errLost
 	case faultDelayed:
-		time.AfterFunc(lateEffect, func() { _, _ = l.Service.Append(context.Background(), stream, payloads) })
+		time.AfterFunc(appendDelay, func() { _, _ = l.Service.Append(context.Background(), stream, payloads) })
 		return 0, errLost
 	}
 	first, err := l.Service.Append(ctx, stream, payloads)
@@ -106,7 +107,7 @@
 	result, err := l.Service.Read(ctx, stream, offset, options)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fromStart = l.fromStart || (stream == testStream && offset == 0 && len(result.Entries) > 0)
+	l.readFromStart = l.readFromStart || (stream == testStream && offset == 0 && len(result.Entries) > 0)
 	return result, err
 }
 
@@ -119,7 +120,7 @@
 
 const testStream = "stream"
 
-// journal is a State that keeps the bodies of all records.
+// journal is a State that holds the bodies of all records.
 type journal struct{ bodies []string }
 
 func (j *journal) Apply(record Record) any {
@@ -152,15 +153,15 @@
 
 func newJournal(string) (State, error) { return &journal{}, nil }
 
-// bodies returns what an owner has folded.
+// bodies returns the record bodies that an owner has folded.
 func bodies(o Owner) []string {
 	var copied []string
 	o.View(func(state State) { copied = slices.Clone(state.(*journal).bodies) })
 	return copied
 }
 
-// refold folds a whole stream as a reader that owns nothing would.
-func refold(payloads [][]byte) ([]string, Fold) {
+// foldAll folds a complete stream as a reader without ownership does.
+func foldAll(payloads [][]byte) ([]string, Fold) {
 	state := &journal{}
 	reader := &replica{state: state}
 	for _, payload := range payloads {
@@ -204,7 +205,7 @@
 	p.changed = make(chan struct{})
 }
 
-// testConfig is the configuration of a node on a log.
+// testConfig returns the configuration of a node that uses the given log.
 func testConfig(log platform.Log, node string) Config {
 	return Config{
 		Log:      log,
--- a/internal/shard/manager.go
+++ b/internal/shard/manager.go
@@ -16,30 +16,30 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// Config is what a Manager works with. Log, Identity, Placer and NewState are required. Placer, Preference and Alive are
-// called under the Manager's lock and must neither block nor call the Manager.
+// Config configures a Manager. Log, Identity, Placer and NewState are required. Placer, Preference and Alive are called
+// with the Manager's lock held and must neither block nor call the Manager.
 type Config struct {
 	Log      platform.Log
 	Identity Identity
 	Placer   placement.Placer
-	// Preference tells where the owner of a stream had best be; nil for no preference.
+	// Preference returns the preferred location of a stream's owner; nil means no preference.
 	Preference func(stream string) placement.Preference
 	// NewState returns the empty state of a stream.
 	NewState func(stream string) (State, error)
-	// Alive tells whether a process is known to be alive. A shard is not taken from such a process for
-	// Settings.HandoverWait. Nil knows of none.
+	// Alive reports whether a process is known to be alive. The Manager does not claim a shard from such a process
+	// until Settings.HandoverWait has passed. If nil, no process is known to be alive.
 	Alive func(node string, incarnation uint64) bool
-	// OnHandover is called before a shard that is placed elsewhere is released; it settles the work in flight. It may
-	// be nil.
+	// OnHandover is called before a shard that is placed elsewhere is released, and waits for the work in progress. It
+	// may be nil.
 	OnHandover func(ctx context.Context, stream string)
 	// Logger may be nil.
 	Logger   *log.Logger
 	Settings Settings
-	// Mutations switches mechanisms off; only tests set it.
+	// Mutations disables mechanisms; only tests set it.
 	Mutations mutation.Set
 }
 
-// Info tells where an owned shard stands.
+// Info describes an owned shard.
 type Info struct {
 	Stream string
 	Epoch  uint64
@@ -57,23 +57,23 @@
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
 
-	// mu guards what follows. It is never held across a call of the log.
+	// mu guards the fields below. It is never held across a call to the log.
 	mu       sync.Mutex
 	owned    map[string]*owner
 	draining map[string]bool
 	opening  map[string]*opening
-	patience patience
+	deferral claimDeferral
 	stopped  bool
 }
 
-// opening is a shard being opened; owner and err are set before done is closed.
+// opening is a shard that is being opened; owner and err are set before done is closed.
 type opening struct {
 	done  chan struct{}
 	owner *owner
 	err   error
 }
 
-// NewManager returns a Manager that owns nothing yet. Close ends it.
+// NewManager returns a Manager that owns no shards yet. It must be closed with Close.
 func NewManager(config Config) *Manager {
 	config.Settings = config.Settings.withDefaults()
 	logger := cmp.Or(config.Logger, log.New(io.Discard))
@@ -86,14 +86,14 @@
 		owned:    make(map[string]*owner),
 		draining: make(map[string]bool),
 		opening:  make(map[string]*opening),
-		patience: newPatience(config.Settings),
+		deferral: newClaimDeferral(config.Settings),
 	}
 }
 
-// Counters counts the work of the Manager's shards.
+// Counters returns the counters of the Manager's shards.
 func (m *Manager) Counters() *Counters { return &m.counters }
 
-// List returns the owned shards by name.
+// List returns the owned shards, sorted by name.
 func (m *Manager) List() []Info {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,9 +107,9 @@
 	return infos
 }
 
-// Open implements Opener. All errors but the context's are *peer.Error: CodeNotOwner with a hint, or CodeNotReady where
-// the log could not be used, the shard is just being handed over, or the Manager has stopped. A shard owned here stays open while it is placed elsewhere,
-// until it is handed over.
+// Open implements Opener. All errors except the context's are *peer.Error: CodeNotOwner with a hint, or CodeNotReady if
+// the log is unavailable, the shard is being handed over, or the Manager has stopped. A shard that is owned here but
+// placed elsewhere stays open until it is handed over.
 func (m *Manager) Open(ctx context.Context, stream string) (Owner, error) {
 	o, call, err := m.find(stream)
 	if err != nil {
@@ -129,7 +129,7 @@
 	return call.owner, nil
 }
 
-// find returns the owner of a stream, or the opening to wait for, which it begins if there is none.
+// find returns the owner of a stream, or the opening to wait for; it starts one if there is none.
 func (m *Manager) find(stream string) (*owner, *opening, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -154,7 +154,8 @@
 	return nil, call, nil
 }
 
-// refusal tells why a shard that is not owned must not be opened now; nil when it may be. The caller holds mu.
+// refusal returns the reason why a shard that is not owned must not be opened now; nil if it may be opened. The caller
+// holds mu.
 func (m *Manager) refusal(stream string) *peer.Error {
 	placed, ok := m.placed(stream)
 	if !ok {
@@ -166,10 +167,10 @@
 	if m.draining[stream] {
 		return notReady("shard has just been handed over")
 	}
-	return m.patience.refusal(stream)
+	return m.deferral.refusal(stream)
 }
 
-// placed returns the member that placement names for a stream.
+// placed returns the member that should own a stream according to the placement.
 func (m *Manager) placed(stream string) (placement.Member, bool) {
 	var preference placement.Preference
 	if m.config.Preference != nil {
@@ -178,8 +179,8 @@
 	return m.config.Placer.Owner(stream, preference)
 }
 
-// Close abandons every shard without a word to the log, as a crash would, and waits for the Manager's goroutines. Call
-// ReleaseAll before it on a planned stop.
+// Close abandons every shard without a release, as a crash would, and waits for the Manager's goroutines. For a planned
+// stop, call ReleaseAll first.
 func (m *Manager) Close() {
 	for _, o := range m.stop() {
 		o.abandon()
@@ -188,7 +189,7 @@
 	m.tasks.Wait()
 }
 
-// stop refuses further opens and returns the shards owned.
+// stop makes further opens fail and returns the owned shards.
 func (m *Manager) stop() []*owner {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -200,12 +201,12 @@
 	return owners
 }
 
-// notOwner is the refusal of a shard that another process owns or ought to own.
+// notOwner returns the refusal for a shard that another process owns or should own.
 func notOwner(stream, hint string) *peer.Error {
 	return &peer.Error{Code: peer.CodeNotOwner, Message: "shard " + stream + " is owned elsewhere", OwnerHint: hint}
 }
 
-// notReady is the refusal of a shard that cannot be opened now.
+// notReady returns the refusal for a shard that cannot be opened now.
 func notReady(reason string) *peer.Error {
 	return &peer.Error{Code: peer.CodeNotReady, Message: reason, RetryAfter: openRetryAfter}
 }
--- a/internal/shard/manager_open.go
+++ b/internal/shard/manager_open.go
@@ -9,7 +9,7 @@
 	"github.com/hillfork/hillfork/internal/peer"
 )
 
-// openRetryAfter is when to ask again for a shard that could not be opened.
+// openRetryAfter is the retry delay sent to callers of a shard that could not be opened.
 const openRetryAfter = 500 * time.Millisecond
 
 // open opens a stream for all callers that wait for it.
@@ -26,25 +26,25 @@
 		err = notReady("node is stopping")
 	}
 	if err != nil {
-		call.err = m.refuse(stream, err)
+		call.err = m.refusalFor(stream, err)
 		return
 	}
 	call.owner = newOwner(stream, restored, &m.config, &m.counters, m.logger)
 	m.owned[stream] = call.owner
-	m.patience.forget(stream)
-	m.tasks.Go(func() { m.forgetWhenDone(stream, call.owner) })
+	m.deferral.remove(stream)
+	m.tasks.Go(func() { m.removeWhenDone(stream, call.owner) })
 	m.counters.Opens.Add(1)
 	m.counters.OpenMicros.Add(uint64(time.Since(began).Microseconds()))
 	m.logger.Info("shard opened", "stream", stream, "epoch", call.owner.epoch, "took", time.Since(began))
 }
 
-// recoverAndClaim reads a stream and claims it, unless it is left to an owner that is alive.
+// recoverAndClaim reads a stream and claims it, unless the claim is deferred because its owner is alive.
 func (m *Manager) recoverAndClaim(ctx context.Context, stream string) (*replica, error) {
 	restored, err := m.recover(ctx, stream)
 	if err != nil {
 		return nil, err
 	}
-	if err := m.leaveToOwner(stream, restored); err != nil {
+	if err := m.deferToOwner(stream, restored); err != nil {
 		return nil, err
 	}
 	claiming := claimant{
@@ -64,7 +64,7 @@
 	return restored, err
 }
 
-// recover reads a stream, on from where an earlier opening that was refused stopped, or from a snapshot.
+// recover reads a stream, starting from the replica of an earlier deferred opening, or else from a snapshot.
 func (m *Manager) recover(ctx context.Context, stream string) (*replica, error) {
 	reading := recovery{
 		log:      m.config.Log,
@@ -75,7 +75,7 @@
 		logger:   m.logger,
 	}
 	m.mu.Lock()
-	kept := m.patience.take(stream)
+	kept := m.deferral.takeReplica(stream)
 	m.mu.Unlock()
 	if kept != nil {
 		return kept, reading.resume(ctx, kept)
@@ -87,8 +87,8 @@
 	return recovered, err
 }
 
-// leaveToOwner returns a refusal while the shard is left to a live owner in another process.
-func (m *Manager) leaveToOwner(stream string, restored *replica) error {
+// deferToOwner returns a refusal while the claim is deferred for a live owner in another process.
+func (m *Manager) deferToOwner(stream string, restored *replica) error {
 	current, owned := restored.fold.Owner()
 	if !owned || current == m.config.Identity || m.config.Alive == nil {
 		return nil
@@ -98,26 +98,26 @@
 	if !m.config.Alive(current.Node, current.Incarnation) {
 		return nil
 	}
-	if m.patience.exhausted(stream, restored.fold.Epoch()) {
+	if m.deferral.waitExceeded(stream, restored.fold.Epoch()) {
 		m.logger.Warn("shard is taken from a live owner that does not release it", "stream", stream, "owner", current.Node)
 		return nil
 	}
-	return m.patience.refuse(stream, current.PeerAddress, restored)
+	return m.deferral.refuse(stream, current.PeerAddress, restored)
 }
 
-// refuse turns the error of an opening into a refusal for its callers. Whatever the claim did, no caller's work was
-// written.
-func (m *Manager) refuse(stream string, err error) error {
+// refusalFor converts the error of an opening into a refusal for its callers. No caller's records have been written at
+// this point, whether or not the claim took effect.
+func (m *Manager) refusalFor(stream string, err error) error {
 	var refusal *peer.Error
 	if errors.As(err, &refusal) {
 		return refusal
 	}
-	errorlog.Warn(m.logger, "shard cannot be opened", err, "stream", stream)
+	errorlog.Warn(m.logger, "could not open the shard", err, "stream", stream)
 	return notReady("shard " + stream + " cannot be opened: " + err.Error())
 }
 
-// forgetWhenDone removes an owner that has ended.
-func (m *Manager) forgetWhenDone(stream string, o *owner) {
+// removeWhenDone removes an owner from the Manager after it has ended.
+func (m *Manager) removeWhenDone(stream string, o *owner) {
 	<-o.done
 	o.tasks.Wait()
 	m.mu.Lock()
--- a/internal/shard/manager_run.go
+++ b/internal/shard/manager_run.go
@@ -9,15 +9,15 @@
 	"github.com/hillfork/hillfork/internal/errorlog"
 )
 
-// Run hands over owned shards that have been placed elsewhere for Settings.SettleTime, until ctx ends. Hand-overs
-// begun before that are finished; nothing else is released or closed at its end.
+// Run hands over owned shards that have been placed elsewhere for Settings.SettleTime, until ctx ends. Hand-overs that
+// have already started are completed; Run neither releases nor closes other shards when it returns.
 func (m *Manager) Run(ctx context.Context) error {
 	var handovers sync.WaitGroup
 	defer handovers.Wait()
 	misplaced := make(map[string]time.Time)
 	for {
 		changed := m.config.Placer.Changed()
-		due, wait := m.review(misplaced, time.Now())
+		due, wait := m.checkPlacement(misplaced, time.Now())
 		for _, stream := range due {
 			handovers.Go(func() { m.handOver(m.ctx, stream) })
 		}
@@ -33,12 +33,12 @@
 	}
 }
 
-// review brings misplaced, which maps a stream to when it was first seen to be placed elsewhere, up to date. It returns
-// the streams that are due to be handed over and the time until the next review.
-func (m *Manager) review(misplaced map[string]time.Time, now time.Time) (due []string, wait time.Duration) {
+// checkPlacement updates misplaced, which maps a stream to the time when it was first seen to be placed elsewhere. It
+// returns the streams that are due to be handed over and the time until the next check.
+func (m *Manager) checkPlacement(misplaced map[string]time.Time, now time.Time) (due []string, wait time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.patience.prune()
+	m.deferral.prune()
 	settle := m.config.Settings.SettleTime
 	wait = settle
 	for stream := range misplaced {
@@ -57,8 +57,8 @@
 			since = now
 			misplaced[stream] = now
 		}
-		if left := settle - now.Sub(since); left > 0 {
-			wait = min(wait, left)
+		if remaining := settle - now.Sub(since); remaining > 0 {
+			wait = min(wait, remaining)
 			continue
 		}
 		delete(misplaced, stream)
@@ -68,7 +68,7 @@
 	return due, wait
 }
 
-// handOver settles the work of one shard, by the hook, and releases it.
+// handOver waits for the work of one shard to end, using the OnHandover hook, and releases the shard.
 func (m *Manager) handOver(ctx context.Context, stream string) {
 	defer m.endDrain(stream)
 	m.logger.Info("shard is handed over", "stream", stream)
@@ -87,7 +87,7 @@
 	defer cancel()
 	err := o.Release(release)
 	if err != nil && !errors.Is(err, ErrNotOwner) {
-		errorlog.Warn(m.logger, "shard was given up without a release", err, "stream", stream)
+		errorlog.Warn(m.logger, "shard was abandoned without a release", err, "stream", stream)
 	}
 }
 
@@ -97,8 +97,8 @@
 	delete(m.draining, stream)
 }
 
-// ReleaseAll refuses further opens and releases every shard, for a planned stop. It returns the errors of those that
-// were given up without a release.
+// ReleaseAll makes further opens fail and releases every shard, for a planned stop. It returns the errors of the shards
+// that were abandoned without a release.
 func (m *Manager) ReleaseAll(ctx context.Context) error {
 	owners := m.stop()
 	failures := make([]error, len(owners))
--- a/internal/shard/manager_test.go
+++ b/internal/shard/manager_test.go
@@ -13,8 +13,8 @@
 	"github.com/hillfork/hillfork/internal/placement"
 )
 
-// refusedWith returns the refusal of an Open.
-func refusedWith(is *is.I, m *Manager) *peer.Error {
+// openRefusal returns the error with which Open refuses the test stream.
+func openRefusal(is *is.I, m *Manager) *peer.Error {
 	_, err := m.Open(context.Background(), testStream)
 	var refusal *peer.Error
 	is.True(errors.As(err, &refusal))
@@ -22,7 +22,7 @@
 }
 
 func TestOpenIsSharedByConcurrentCallers(t *testing.T) {
-	inBubble(t, func(is *is.I, log *fakeLog) {
+	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		m := NewManager(testConfig(log, "a"))
 		defer m.Close()
 		var callers sync.WaitGroup
@@ -39,28 +39,30 @@
 	})
 }
 
-func TestOpenRefusesWhatIsPlacedElsewhere(t *testing.T) {
-	inBubble(t, func(is *is.I, log *fakeLog) {
+func TestOpenRefusesShardPlacedElsewhere(t *testing.T) {
+	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		config := testConfig(log, "a")
 		placer := config.Placer.(*fakePlacer)
 		m := NewManager(config)
 		defer m.Close()
 		placer.place("b")
-		is.Equal(*refusedWith(is, m), *notOwner(testStream, "b:1"))
+		is.Equal(*openRefusal(is, m), *notOwner(testStream, "b:1"))
 		placer.place("")
-		is.Equal(*refusedWith(is, m), *notOwner(testStream, ""))
+		is.Equal(*openRefusal(is, m), *notOwner(testStream, ""))
 		placer.place("a")
 		log.Down()
-		is.Equal(refusedWith(is, m).Code, peer.CodeNotReady)
+		is.Equal(openRefusal(is, m).Code, peer.CodeNotReady)
 		log.Up()
 		is.Equal(open(t, m).Epoch(), uint64(1))
 		is.NoErr(m.ReleaseAll(context.Background()))
-		is.Equal(refusedWith(is, m).Code, peer.CodeNotReady)
+		is.Equal(openRefusal(is, m).Code, peer.CodeNotReady)
 	})
 }
 
-func TestLiveOwnerIsLeftAlone(t *testing.T) {
-	inBubble(t, func(is *is.I, log *fakeLog) {
+// TestClaimIsDeferredForLiveOwner checks that a shard of a live owner is refused until HandoverWait has passed and
+// claimed afterwards, without reading the stream again for each refusal.
+func TestClaimIsDeferredForLiveOwner(t *testing.T) {
+	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		first := NewManager(testConfig(log, "a"))
 		defer first.Close()
 		old := open(t, first)
@@ -72,25 +74,27 @@
 		defer second.Close()
 		began := time.Now()
 		for time.Since(began) < DefaultSettings().HandoverWait {
-			is.Equal(refusedWith(is, second).OwnerHint, "a:1")
+			is.Equal(openRefusal(is, second).OwnerHint, "a:1")
 			time.Sleep(50 * time.Millisecond)
 		}
 		time.Sleep(2 * DefaultSettings().RefusalTTL)
 		is.Equal(open(t, second).Epoch(), uint64(2))
 		<-old.Done()
-		is.Equal(second.Counters().OpenEntries.Load(), uint64(2)) // no entry is read twice for all the refusals
+		is.Equal(second.Counters().OpenEntries.Load(), uint64(2)) // the refusals read no entry twice
 	})
 }
 
+// TestMovedShardIsHandedOver checks that an owned shard is handed over after it was placed elsewhere for SettleTime,
+// and not while its placement changes back and forth.
 func TestMovedShardIsHandedOver(t *testing.T) {
-	inBubble(t, func(is *is.I, log *fakeLog) {
+	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		config := testConfig(log, "a")
 		placer := config.Placer.(*fakePlacer)
-		var handed []string
+		var handedOver []string
 		var m *Manager
 		config.OnHandover = func(_ context.Context, stream string) {
-			handed = append(handed, stream)
-			is.Equal(refusedWith(is, m).Code, peer.CodeNotReady) // takes no new work any more
+			handedOver = append(handedOver, stream)
+			is.Equal(openRefusal(is, m).Code, peer.CodeNotReady) // accepts no new work during the hand-over
 		}
 		m = NewManager(config)
 		defer m.Close()
@@ -98,22 +102,22 @@
 		defer cancel()
 		go m.Run(ctx)
 		o := open(t, m)
-		for range 5 { // flapping faster than the settle time moves nothing
+		for range 5 { // placement changes shorter than SettleTime move nothing
 			placer.place("b")
 			time.Sleep(DefaultSettings().SettleTime / 2)
 			placer.place("a")
 			time.Sleep(DefaultSettings().SettleTime / 2)
 		}
-		is.Equal(len(handed), 0)
+		is.Equal(len(handedOver), 0)
 		placer.place("b")
 		began := time.Now()
 		<-o.Done()
 		is.True(time.Since(began) < 2*DefaultSettings().SettleTime)
-		is.Equal(handed, []string{testStream})
-		_, fold := refold(log.contents(testStream))
+		is.Equal(handedOver, []string{testStream})
+		_, fold := foldAll(log.contents(testStream))
 		_, owned := fold.Owner()
 		is.True(!owned)
-		is.Equal(refusedWith(is, m).OwnerHint, "b:1")
+		is.Equal(openRefusal(is, m).OwnerHint, "b:1")
 		is.Equal(len(m.List()), 0)
 	})
 }
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -13,8 +13,8 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// owner implements Owner. Its goroutines are a writer, which has one append in flight at a time, a follower, which polls
-// the tail while nothing is written, and a snapshotter.
+// owner implements Owner. Its goroutines are a writer, which has one append in flight at a time, a follower, which
+// polls the tail while nothing is appended, and a snapshotter.
 type owner struct {
 	stream   string
 	epoch    uint64
@@ -28,26 +28,27 @@
 	tasks  sync.WaitGroup
 	// done is closed when the shard is released, superseded or abandoned.
 	done chan struct{}
-	// wake tells the writer that the queue is not empty, and snapshotDue the snapshotter that there is enough to do.
+	// wake signals the writer that the queue is not empty, and snapshotDue signals the snapshotter that a snapshot is
+	// due.
 	wake        chan struct{}
 	snapshotDue chan struct{}
 	confirms    confirmer
 
-	// mu guards what follows. It is never held across a call of the log.
+	// mu guards the fields below. It is never held across a call to the log.
 	mu       sync.Mutex
 	replica  *replica
 	queue    []*waiter
 	inFlight *batch
-	// sequence is that of the last record put into a batch.
+	// sequence is the sequence number of the last record added to a batch.
 	sequence  uint64
 	releasing bool
 	ended     bool
-	// lastAppend is when a batch was last begun or settled; cancelPoll ends a poll of the follower.
+	// lastAppend is the time when a batch was last started or settled; cancelPoll cancels the follower's current poll.
 	lastAppend time.Time
 	cancelPoll context.CancelFunc
 }
 
-// newOwner starts an owner on a replica that has folded the claim of epoch.
+// newOwner starts an owner on a replica that has folded the claim of its epoch.
 func newOwner(stream string, replica *replica, config *Config, counters *Counters, logger *log.Logger) *owner {
 	ctx, cancel := context.WithCancel(context.Background())
 	o := &owner{
@@ -88,16 +89,16 @@
 	read(o.replica.state)
 }
 
-// next is the offset up to which the shard is folded.
+// next returns the next offset to fold.
 func (o *owner) next() int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.replica.fold.Next()
 }
 
-// Append implements Owner. Besides the errors of the interface it returns *peer.Error where nothing was written:
-// CodeInvalid for a record that is too large, CodeOverloaded when too many calls wait. Where the context ends before
-// the records were sent the error wraps platform.ErrNotSent, otherwise ErrUncertain.
+// Append implements Owner. In addition to the errors of the interface it returns a *peer.Error if nothing was written:
+// CodeInvalid for a record that is too large, CodeOverloaded if too many calls are queued. If the context ends before
+// the records were sent, the error wraps platform.ErrNotSent, otherwise ErrUncertain.
 func (o *owner) Append(ctx context.Context, proposals ...Proposal) ([]any, error) {
 	if len(proposals) == 0 {
 		return nil, nil
@@ -112,7 +113,7 @@
 	return o.await(ctx, w)
 }
 
-// checkSize refuses records that the log would not take.
+// checkSize returns an error for records that are larger than the log accepts.
 func (o *owner) checkSize(proposals []Proposal) error {
 	for _, proposal := range proposals {
 		if len(proposal.Body) > o.settings.MaxEntryBytes {
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// enqueue hands a waiter to the writer.
+// enqueue adds a waiter to the writer's queue.
 func (o *owner) enqueue(w *waiter) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// await waits for the end of a call. A call whose context ends while it still queues is withdrawn.
+// await waits for the end of a call. If the context ends while the call is still queued, the call is withdrawn.
 func (o *owner) await(ctx context.Context, w *waiter) ([]any, error) {
 	select {
 	case <-w.done:
@@ -161,7 +162,7 @@
 	}
 }
 
-// withdraw takes a waiter out of the queue; false when it is no longer there.
+// withdraw removes a waiter from the queue; false if it is no longer queued.
 func (o *owner) withdraw(w *waiter) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -174,8 +175,8 @@
 	return false
 }
 
-// Release implements Owner. It waits for the records before it. When ctx ends first the shard is abandoned, and the next
-// owner claims it as that of a dead process.
+// Release implements Owner. It waits for the records queued before it. If ctx ends first, the shard is abandoned, and
+// the next owner claims it as if this process had crashed.
 func (o *owner) Release(ctx context.Context) error {
 	w := newWaiter(typeRelease, nil)
 	if err := o.enqueue(w); err != nil {
@@ -188,7 +189,7 @@
 	return err
 }
 
-// abandon ends the owner without a word to the log, as a crash would, and waits for its goroutines.
+// abandon ends the owner without a release, as a crash would, and waits for its goroutines.
 func (o *owner) abandon() {
 	o.mu.Lock()
 	o.end(ErrUncertain)
@@ -196,8 +197,8 @@
 	o.tasks.Wait()
 }
 
-// end closes the owner; the caller holds mu. Queued calls were never sent, so that they had no effect; inFlightErr is
-// what the calls in flight get whose records are not folded.
+// end closes the owner; the caller holds mu. Queued calls were never sent and had no effect, so they get ErrNotOwner;
+// calls in flight whose records are not folded get inFlightErr.
 func (o *owner) end(inFlightErr error) {
 	if o.ended {
 		return
@@ -215,7 +216,7 @@
 	o.cancel()
 }
 
-// signal wakes the receiver of a channel of capacity one.
+// signal wakes the receiver of a channel of capacity one without blocking.
 func signal(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/shard/owner_confirm.go
+++ b/internal/shard/owner_confirm.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// confirmer lets concurrent Confirm calls share one read. A call joins the round that has not begun yet.
+// confirmer lets concurrent Confirm calls share one read. A call joins the next round that has not started yet.
 type confirmer struct {
 	mu      sync.Mutex
 	next    *confirmRound
@@ -19,7 +19,7 @@
 	err  error
 }
 
-// join returns the round to wait for, and whether the caller must start the rounds.
+// join returns the round to wait for, and whether the caller must start the goroutine that runs the rounds.
 func (c *confirmer) join() (round *confirmRound, start bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -31,8 +31,8 @@
 	return c.next, start
 }
 
-// begin takes the round that begins now; nil when there is none, which ends the rounds.
-func (c *confirmer) begin() *confirmRound {
+// nextRound returns the round to run now; nil if no call is waiting, which ends the sequence of rounds.
+func (c *confirmer) nextRound() *confirmRound {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	round := c.next
@@ -41,7 +41,7 @@
 	return round
 }
 
-// Confirm implements Owner. An error other than ErrNotOwner and the context's says that the log could not be asked.
+// Confirm implements Owner. An error other than ErrNotOwner and the context's means that the log could not be read.
 func (o *owner) Confirm(ctx context.Context) error {
 	round, start := o.confirms.join()
 	if start {
@@ -55,10 +55,10 @@
 	}
 }
 
-// runConfirms serves rounds until none waits.
+// runConfirms runs rounds until no call is waiting.
 func (o *owner) runConfirms() {
 	for {
-		round := o.confirms.begin()
+		round := o.confirms.nextRound()
 		if round == nil {
 			return
 		}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// hasEnded tells whether the owner was released, superseded or abandoned.
+// hasEnded reports whether the owner was released, superseded or abandoned.
 func (o *owner) hasEnded() bool {
 	select {
 	case <-o.done:
--- a/internal/shard/owner_fold.go
+++ b/internal/shard/owner_fold.go
@@ -7,11 +7,11 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// errNoProgress says that the log returned no entry below the tail it had told.
+// errNoProgress is returned if the log returned no entry although its reported tail is further ahead.
 var errNoProgress = errors.New("log returned no entry below its tail")
 
-// fold folds entries that were read from the stream. Entries folded before are skipped, so that several readers may run
-// at once; entries beyond a gap are left for the next read.
+// fold folds entries that were read from the stream. Entries that are already folded are skipped, so several readers
+// may run concurrently; entries beyond a gap are left for the next read.
 func (o *owner) fold(entries []platform.Entry) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -25,7 +25,8 @@
 	}
 }
 
-// foldOwn folds the payloads of a batch that the log says it put at offset first, if nothing unknown lies before them.
+// foldOwn folds the payloads of a batch that the log reported to be at offset first, unless unread entries precede
+// them.
 func (o *owner) foldOwn(b *batch, first int64) {
 	entries := make([]platform.Entry, len(b.payloads))
 	for i, payload := range b.payloads {
@@ -34,8 +35,8 @@
 	o.fold(entries)
 }
 
-// foldNext folds one payload; the caller holds mu. An owner that has ended folds no more, so that its state stays that
-// of the moment when it lost the shard.
+// foldNext folds one payload; the caller holds mu. An owner that has ended does not fold any more, so its state remains
+// as it was when it lost the shard.
 func (o *owner) foldNext(payload []byte) {
 	if o.ended {
 		return
@@ -44,9 +45,9 @@
 	o.counters.observe(result.verdict)
 	switch result.verdict {
 	case VerdictClaim:
-		o.superseded()
+		o.handleSuperseded()
 	case VerdictRelease:
-		o.released()
+		o.handleReleased()
 	case VerdictRecord:
 		o.settle(result.record.Sequence, result.outcome)
 	case VerdictGarbage, VerdictGap:
@@ -54,16 +55,17 @@
 	}
 }
 
-// superseded ends the owner after a valid claim of a later epoch: what is not folded yet comes after it and is void.
-func (o *owner) superseded() {
+// handleSuperseded ends the owner after a valid claim of a later epoch: entries of this epoch after that claim are
+// void.
+func (o *owner) handleSuperseded() {
 	claimant, _ := o.replica.fold.Owner()
 	o.logger.Info("shard superseded", "by", claimant.Node, "newEpoch", o.replica.fold.Epoch())
 	o.counters.Superseded.Add(1)
 	o.end(ErrNotOwner)
 }
 
-// released ends the owner after its own release.
-func (o *owner) released() {
+// handleReleased ends the owner after its own release was folded.
+func (o *owner) handleReleased() {
 	o.counters.Released.Add(1)
 	b := o.inFlight
 	if b != nil && b.isRelease() {
@@ -73,25 +75,25 @@
 	o.end(ErrNotOwner)
 }
 
-// settle gives a record's outcome to the batch in flight.
+// settle adds a record's outcome to the batch in flight.
 func (o *owner) settle(sequence uint64, outcome any) {
 	b := o.inFlight
 	if b == nil {
 		o.logger.Error("valid record that nobody waits for", "sequence", sequence)
 		return
 	}
-	whole, ok := b.add(sequence, outcome)
+	complete, ok := b.add(sequence, outcome)
 	if !ok {
 		o.logger.Error("valid record out of sequence", "sequence", sequence, "first", b.first)
 		return
 	}
-	if whole {
+	if complete {
 		o.inFlight = nil
 		b.succeed()
 	}
 }
 
-// catchUp reads and folds until the tail that the first read saw.
+// catchUp reads and folds up to the tail that the first read returned.
 func (o *owner) catchUp(ctx context.Context) error {
 	target := int64(-1)
 	for {
@@ -112,7 +114,7 @@
 	}
 }
 
-// read reads from the next offset and folds what it finds.
+// read reads from the next offset and folds the entries.
 func (o *owner) read(ctx context.Context, options platform.ReadOptions) (platform.ReadResult, error) {
 	result, err := o.log.Read(ctx, o.stream, o.next(), options)
 	if err != nil {
--- a/internal/shard/owner_follow.go
+++ b/internal/shard/owner_follow.go
@@ -9,25 +9,26 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// follow is the follower: while nothing is appended it polls the tail, so that an idle owner learns that it was
-// superseded. An owner that appends learns it from its appends, and does not read its own records back.
+// follow runs the follower: it polls the tail while nothing is appended, so that an idle owner detects that it was
+// superseded. An owner that appends detects it by its appends, and does not read back its own records.
 func (o *owner) follow() {
 	for pause.For(o.ctx, o.settings.FollowAfter) {
-		ctx, cancel, idle := o.beginPoll()
+		ctx, cancel, idle := o.startPoll()
 		if !idle {
 			continue
 		}
 		options := platform.ReadOptions{MaxEntries: o.settings.ReadEntries, Wait: o.settings.FollowWait}
 		_, err := o.read(ctx, options)
 		if err != nil && ctx.Err() == nil {
-			errorlog.Debug(o.logger, "poll of the tail failed", err)
+			errorlog.Debug(o.logger, "polling the tail failed", err)
 		}
 		cancel()
 	}
 }
 
-// beginPoll returns the context of a poll, which ends when an append begins; false while there are appends.
-func (o *owner) beginPoll() (context.Context, context.CancelFunc, bool) {
+// startPoll returns the context of a poll, which is cancelled when an append starts; false if there were appends
+// recently.
+func (o *owner) startPoll() (context.Context, context.CancelFunc, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.inFlight != nil || time.Since(o.lastAppend) < o.settings.FollowAfter {
--- a/internal/shard/owner_snapshot.go
+++ b/internal/shard/owner_snapshot.go
@@ -7,15 +7,15 @@
 	"github.com/hillfork/hillfork/internal/pause"
 )
 
-// snapshotIsDue tells whether enough was folded since the last snapshot; the caller holds mu.
+// snapshotIsDue reports whether enough was folded since the last snapshot; the caller holds mu.
 func (o *owner) snapshotIsDue() bool {
 	r := o.replica
 	enough := r.sinceEntries >= int64(o.settings.SnapshotEvery) || r.sinceBytes >= o.settings.SnapshotBytes
 	return enough && 2*r.sinceBytes >= r.snapshotSize && !o.ended
 }
 
-// snapshot is the snapshotter: it writes a snapshot whenever one is due. A snapshot is a fold of a prefix of the stream,
-// so that even one written by a superseded owner is right, if old.
+// snapshot runs the snapshotter: it writes a snapshot whenever one is due. A snapshot is the fold of a prefix of the
+// stream, so even one written by a superseded owner is valid, though old.
 func (o *owner) snapshot() {
 	for {
 		select {
@@ -28,14 +28,14 @@
 			continue
 		}
 		o.counters.SnapshotFailures.Add(1)
-		errorlog.Warn(o.logger, "snapshot failed", err)
+		errorlog.Warn(o.logger, "writing a snapshot failed", err)
 		if !pause.For(o.ctx, o.settings.SnapshotRetry) {
 			return
 		}
 	}
 }
 
-// writeSnapshot encodes the state under the lock and appends it outside.
+// writeSnapshot encodes the state with the lock held and appends it after releasing the lock.
 func (o *owner) writeSnapshot() error {
 	o.mu.Lock()
 	if !o.snapshotIsDue() {
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -24,8 +24,8 @@
 	return o
 }
 
-// inBubble runs a test in virtual time, with a log whose round trip is a millisecond.
-func inBubble(t *testing.T, test func(is *is.I, log *fakeLog)) {
+// inVirtualTime runs a test in virtual time, with a log whose round trip is a millisecond.
+func inVirtualTime(t *testing.T, test func(is *is.I, log *fakeLog)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -34,7 +34,9 @@
 	})
 }
 
-func TestClaimsAndRecordsAreFoldedOnceWhateverBecomesOfTheAnswer(t *testing.T) {
+// TestAppendFaultsFoldOnce injects faults into the appends of claims and records: each must be folded exactly once,
+// whether or not an append took effect before its response was lost.
+func TestAppendFaultsFoldOnce(t *testing.T) {
 	cases := map[string][]fault{
 		"no fault":                {faultNone},
 		"not sent":                {faultNotSent, faultNotSent},
@@ -46,7 +48,7 @@
 	}
 	for name, faults := range cases {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, func(is *is.I, log *fakeLog) {
+			inVirtualTime(t, func(is *is.I, log *fakeLog) {
 				m := NewManager(testConfig(log, "a"))
 				defer m.Close()
 				log.setFaults(faults...)
@@ -56,10 +58,10 @@
 				outcomes, err := o.Append(context.Background(), proposal("x"), proposal("y"))
 				is.NoErr(err)
 				is.Equal(outcomes, []any{1, 2})
-				time.Sleep(2 * lateEffect)
+				time.Sleep(2 * appendDelay)
 				_, err = o.Append(context.Background(), proposal("z"))
 				is.NoErr(err)
-				folded, _ := refold(log.contents(testStream))
+				folded, _ := foldAll(log.contents(testStream))
 				is.Equal(folded, []string{"x", "y", "z"})
 				is.Equal(bodies(o), folded)
 				is.NoErr(o.Confirm(context.Background()))
@@ -69,7 +71,7 @@
 }
 
 func TestSupersededOwnerWritesNothing(t *testing.T) {
-	inBubble(t, func(is *is.I, log *fakeLog) {
+	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		first, second := NewManager(testConfig(log, "a")), NewManager(testConfig(log, "b"))
 		defer first.Close()
 		defer second.Close()
@@ -84,14 +86,16 @@
 		<-old.Done()
 		_, err = successor.Append(context.Background(), proposal("3"))
 		is.NoErr(err)
-		folded, fold := refold(log.contents(testStream))
+		folded, fold := foldAll(log.contents(testStream))
 		is.Equal(folded, []string{"1", "3"})
 		is.Equal(fold.Counts().Superseded, uint64(1))
 	})
 }
 
-func TestIdleOwnerLearnsThatItWasSuperseded(t *testing.T) {
-	inBubble(t, func(is *is.I, log *fakeLog) {
+// TestIdleOwnerDetectsSupersession checks that an owner without appends detects a new claim by polling, and that
+// polling does not read back its own records.
+func TestIdleOwnerDetectsSupersession(t *testing.T) {
+	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		first, second := NewManager(testConfig(log, "a")), NewManager(testConfig(log, "b"))
 		defer first.Close()
 		defer second.Close()
@@ -99,7 +103,7 @@
 		time.Sleep(time.Hour)
 		_, err := old.Append(context.Background(), proposal("x"))
 		is.NoErr(err)
-		is.Equal(first.Counters().ReadBytes.Load(), uint64(0)) // the append ends the poll, which does not return it
+		is.Equal(first.Counters().ReadBytes.Load(), uint64(0)) // the append cancels the poll before it returns the record
 		time.Sleep(time.Hour)
 		is.Equal(first.Counters().ReadBytes.Load(), uint64(0))
 		open(t, second)
@@ -109,8 +113,10 @@
 	})
 }
 
-func TestConfirmDoesNotRestOnAReadBegunBeforeIt(t *testing.T) {
-	inBubble(t, func(is *is.I, log *fakeLog) {
+// TestConfirmIgnoresEarlierReads supersedes an owner while a read of an earlier Confirm is in flight. A later Confirm
+// must not use the result of that read.
+func TestConfirmIgnoresEarlierReads(t *testing.T) {
+	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		link := &pausableLog{fakeLog: log}
 		first, second := NewManager(testConfig(link, "a")), NewManager(testConfig(log, "b"))
 		defer first.Close()
@@ -119,9 +125,9 @@
 		early := make(chan error, 2)
 		go func() { early <- old.Confirm(context.Background()) }()
 		synctest.Wait()
-		link.pause(time.Second) // holds the answer of the read that is on its way
+		link.pause(time.Second) // delays the response of the read in flight
 		time.Sleep(10 * roundTrip)
-		go func() { early <- old.Confirm(context.Background()) }() // a round of its own, which waits for the first
+		go func() { early <- old.Confirm(context.Background()) }() // a separate round, which waits for the first
 		synctest.Wait()
 		open(t, second)
 		is.True(errors.Is(old.Confirm(context.Background()), ErrNotOwner))
@@ -130,8 +136,10 @@
 	})
 }
 
-func TestOutageLeavesTheFateOpenUntilTheLogAnswers(t *testing.T) {
-	inBubble(t, func(is *is.I, log *fakeLog) {
+// TestOutageLeavesAppendUncertain checks the errors of appends during an outage of the log: ErrUncertain for a sent
+// record, which takes effect after the outage, and ErrNotSent for a queued one, which does not.
+func TestOutageLeavesAppendUncertain(t *testing.T) {
+	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		m := NewManager(testConfig(log, "a"))
 		defer m.Close()
 		o := open(t, m)
@@ -160,8 +168,8 @@
 	})
 }
 
-func TestAppendRefusesWhatCannotBeWritten(t *testing.T) {
-	inBubble(t, func(is *is.I, log *fakeLog) {
+func TestAppendLimits(t *testing.T) {
+	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		config := testConfig(log, "a")
 		config.Settings = Settings{MaxEntryBytes: 4, MaxQueued: 1}
 		m := NewManager(config)
@@ -181,8 +189,9 @@
 	})
 }
 
-func TestReleaseSettlesWhatCameBeforeIt(t *testing.T) {
-	inBubble(t, func(is *is.I, log *fakeLog) {
+// TestReleaseWaitsForAppends checks that a release waits for the appends before it and refuses those after it.
+func TestReleaseWaitsForAppends(t *testing.T) {
+	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		m := NewManager(testConfig(log, "a"))
 		defer m.Close()
 		o := open(t, m)
@@ -199,14 +208,14 @@
 		synctest.Wait()
 		_, err := o.Append(context.Background(), proposal("after the release began"))
 		is.True(errors.Is(err, ErrNotOwner))
-		is.True(!o.(*owner).hasEnded()) // it was refused at once
+		is.True(!o.(*owner).hasEnded()) // the append was refused immediately, before the release completed
 		is.NoErr(<-released)
 		is.NoErr(<-results)
 		is.NoErr(<-results)
 		<-o.Done()
 		_, err = o.Append(context.Background(), proposal("late"))
 		is.True(errors.Is(err, ErrNotOwner))
-		_, fold := refold(log.contents(testStream))
+		_, fold := foldAll(log.contents(testStream))
 		_, owned := fold.Owner()
 		is.True(!owned)
 		is.Equal(open(t, m).Epoch(), uint64(2))
--- a/internal/shard/owner_write.go
+++ b/internal/shard/owner_write.go
@@ -10,19 +10,19 @@
 	"github.com/hillfork/hillfork/internal/pause"
 )
 
-// Backoff between tries of an append.
+// Backoff between attempts of an append.
 const (
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 2 * time.Second
 )
 
-// unknownOffset stands for an offset that the log has not told.
+// unknownOffset is used while the log has not returned an offset.
 const unknownOffset = -1
 
-// errUnconfirmed says that the log acknowledged an append which its stream then did not show as valid.
-var errUnconfirmed = errors.New("log acknowledged an append that its stream does not show")
+// errUnconfirmed is the failure of an append that the log acknowledged but that is not valid in the stream.
+var errUnconfirmed = errors.New("log acknowledged an append that is missing from its stream")
 
-// write is the writer: it commits one batch after the other until the owner ends.
+// write runs the writer: it commits one batch after the other until the owner ends.
 func (o *owner) write() {
 	for {
 		select {
@@ -45,7 +45,7 @@
 	}
 }
 
-// fail ends the owner for a fault that leaves the fate of the batch in flight open.
+// fail ends the owner after an internal error; it remains unknown whether the batch in flight took effect.
 func (o *owner) fail(cause error) {
 	errorlog.Error(o.logger, "owner gives up", cause)
 	o.mu.Lock()
@@ -53,7 +53,8 @@
 	o.end(ErrUncertain)
 }
 
-// nextBatch takes waiters off the queue, within the bounds of a batch; nil when there is none or the owner has ended.
+// nextBatch moves waiters from the queue into a batch, within the limits of a batch; nil if the queue is empty or the
+// owner has ended.
 func (o *owner) nextBatch() (*batch, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -79,7 +80,7 @@
 	return b, nil
 }
 
-// fits tells whether a waiter may join a batch. A release goes alone; the first waiter always fits.
+// fits reports whether a waiter may join a batch. A release has a batch of its own; the first waiter always fits.
 func (o *owner) fits(b *batch, w *waiter) bool {
 	if len(b.waiters) == 0 {
 		return true
@@ -91,7 +92,7 @@
 	return entries <= o.settings.MaxBatchEntries && b.bytes+w.bytes <= o.settings.MaxBatchBytes
 }
 
-// encode adds the entries of a waiter to a batch and numbers them.
+// encode adds the entries of a waiter to a batch and assigns their sequence numbers.
 func (o *owner) encode(b *batch, w *waiter) error {
 	if w.kind == typeRelease {
 		return b.encode(&envelope{Type: uint8(typeRelease), Epoch: o.epoch})
@@ -122,10 +123,10 @@
 	return nil
 }
 
-// commit brings a batch to its end: it is sent, and sent again with the same sequence numbers while its fate is unknown,
-// until it is folded or the owner ends.
+// commit appends a batch, and retries with the same sequence numbers while it is unknown whether the batch took effect,
+// until the batch is folded or the owner ends.
 func (o *owner) commit(b *batch) {
-	pauses := newBackoff()
+	delays := newBackoff()
 	timeout := o.settings.AppendTimeout
 	end := int64(unknownOffset)
 	for {
@@ -135,7 +136,7 @@
 		if !b.isSettled() {
 			o.readBack(b, end, timeout)
 		}
-		if b.isSettled() || !pause.For(b.ctx, pauses.NextBackOff()) {
+		if b.isSettled() || !pause.For(b.ctx, delays.NextBackOff()) {
 			break
 		}
 		timeout = min(2*timeout, o.settings.MaxAttemptTimeout)
@@ -145,8 +146,8 @@
 	o.lastAppend = time.Now()
 }
 
-// send appends a batch once, and folds it if nothing unknown lies before it. It returns the offset after the batch, or
-// unknownOffset when the log did not acknowledge it.
+// send appends a batch once, and folds it if no unread entries precede it. It returns the offset after the batch, or
+// unknownOffset if the log did not acknowledge the append.
 func (o *owner) send(b *batch, timeout time.Duration) int64 {
 	ctx, cancel := context.WithTimeout(b.ctx, timeout)
 	defer cancel()
@@ -165,7 +166,8 @@
 	return unknownOffset
 }
 
-// readBack reads up to the tail to learn the fate of a batch, which the log put before offset end if it acknowledged it.
+// readBack reads up to the tail to determine whether a batch took effect. end is the offset after the batch if the log
+// acknowledged it, or unknownOffset.
 func (o *owner) readBack(b *batch, end int64, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(b.ctx, timeout)
 	defer cancel()
@@ -183,9 +185,9 @@
 }
 
 func newBackoff() *backoff.ExponentialBackOff {
-	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = initialBackoff
-	pauses.MaxInterval = maxBackoff
-	pauses.Reset()
-	return pauses
+	delays := backoff.NewExponentialBackOff()
+	delays.InitialInterval = initialBackoff
+	delays.MaxInterval = maxBackoff
+	delays.Reset()
+	return delays
 }
--- a/internal/shard/patience.go
+++ b/internal/shard/patience.go
@@ -6,67 +6,71 @@
 	"github.com/hillfork/hillfork/internal/peer"
 )
 
-// episodeFactor times HandoverWait without a refusal ends an episode of patience.
+// An episode ends after episodeFactor times HandoverWait without a refusal.
 const episodeFactor = 4
 
-// patience decides how long a shard that is placed here is left to its live owner elsewhere. It keeps two nodes whose
-// views of the members differ from taking a shard from each other in turn. It is not safe for concurrent use.
-type patience struct {
+// claimDeferral limits how long the claim of a shard that is placed here is deferred for its live owner elsewhere. It
+// prevents two nodes with different views of the members from claiming a shard from each other in turn. It is not safe
+// for concurrent use.
+type claimDeferral struct {
 	settings Settings
 	episodes map[string]*episode
 }
 
-// episode is a time during which one epoch of a stream was left to its owner.
+// episode is a period during which the claim of a stream was deferred for the owner of one epoch.
 type episode struct {
 	epoch       uint64
-	began       time.Time
+	start       time.Time
 	lastRefused time.Time
 	refusal     *peer.Error
-	// replica is the stream as it was last read, so that the next opening reads on from there. An opening takes it out.
+	// replica is the fold of the stream as last read, so that the next opening continues from there. An opening removes
+	// it.
 	replica *replica
 }
 
-func newPatience(settings Settings) patience {
-	return patience{settings: settings, episodes: make(map[string]*episode)}
+func newClaimDeferral(settings Settings) claimDeferral {
+	return claimDeferral{settings: settings, episodes: make(map[string]*episode)}
 }
 
-// refusal returns the last refusal while it is fresh, so that callers in quick succession cost one read of the stream.
-func (p *patience) refusal(stream string) *peer.Error {
-	current := p.episodes[stream]
-	if current == nil || time.Since(current.lastRefused) >= p.settings.RefusalTTL {
+// refusal returns the last refusal while it is younger than RefusalTTL, so that calls in quick succession cost one read
+// of the stream.
+func (d *claimDeferral) refusal(stream string) *peer.Error {
+	current := d.episodes[stream]
+	if current == nil || time.Since(current.lastRefused) >= d.settings.RefusalTTL {
 		return nil
 	}
 	return current.refusal
 }
 
-// exhausted tells whether the owner of this epoch was given HandoverWait. It begins an episode where there is none.
-func (p *patience) exhausted(stream string, epoch uint64) bool {
+// waitExceeded reports whether the owner of this epoch has had HandoverWait to release the shard. It starts an episode
+// if there is none.
+func (d *claimDeferral) waitExceeded(stream string, epoch uint64) bool {
 	now := time.Now()
-	current := p.episodes[stream]
-	if current == nil || current.epoch != epoch || p.expired(current, now) {
-		p.episodes[stream] = &episode{epoch: epoch, began: now, lastRefused: now}
+	current := d.episodes[stream]
+	if current == nil || current.epoch != epoch || d.expired(current, now) {
+		d.episodes[stream] = &episode{epoch: epoch, start: now, lastRefused: now}
 		return false
 	}
-	return now.Sub(current.began) >= p.settings.HandoverWait
+	return now.Sub(current.start) >= d.settings.HandoverWait
 }
 
-// expired tells whether nobody has asked for the shard for so long that a new episode ought to begin.
-func (p *patience) expired(current *episode, now time.Time) bool {
-	return now.Sub(current.lastRefused) > episodeFactor*p.settings.HandoverWait
+// expired reports whether the last refusal is so long ago that a new episode should start.
+func (d *claimDeferral) expired(current *episode, now time.Time) bool {
+	return now.Sub(current.lastRefused) > episodeFactor*d.settings.HandoverWait
 }
 
-// refuse returns the refusal that names the owner, and keeps it and the replica.
-func (p *patience) refuse(stream, ownerAddress string, restored *replica) *peer.Error {
-	current := p.episodes[stream]
+// refuse returns a refusal that names the owner, and stores the refusal and the replica in the episode.
+func (d *claimDeferral) refuse(stream, ownerAddress string, restored *replica) *peer.Error {
+	current := d.episodes[stream]
 	current.lastRefused = time.Now()
 	current.refusal = notOwner(stream, ownerAddress)
 	current.replica = restored
 	return current.refusal
 }
 
-// take hands out the replica kept for a stream, nil where there is none.
-func (p *patience) take(stream string) *replica {
-	current := p.episodes[stream]
+// takeReplica removes and returns the replica stored for a stream; nil if there is none.
+func (d *claimDeferral) takeReplica(stream string) *replica {
+	current := d.episodes[stream]
 	if current == nil {
 		return nil
 	}
@@ -75,15 +79,15 @@
 	return kept
 }
 
-// prune forgets expired episodes.
-func (p *patience) prune() {
+// prune removes expired episodes.
+func (d *claimDeferral) prune() {
 	now := time.Now()
-	for stream, current := range p.episodes {
-		if p.expired(current, now) {
-			delete(p.episodes, stream)
+	for stream, current := range d.episodes {
+		if d.expired(current, now) {
+			delete(d.episodes, stream)
 		}
 	}
 }
 
-// forget ends the episode of a stream.
-func (p *patience) forget(stream string) { delete(p.episodes, stream) }
+// remove ends the episode of a stream.
+func (d *claimDeferral) remove(stream string) { delete(d.episodes, stream) }
--- a/internal/shard/property_test.go
+++ b/internal/shard/property_test.go
@@ -17,37 +17,38 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// act is one thing that happens to a node of a script.
-type act uint8
+// action is an operation on, or a failure of, a node.
+type action uint8
 
 const (
-	actAppend act = iota
-	actAppendImpatient
+	actAppend action = iota
+	actAppendShortTimeout
 	actConfirm
 	actRelease
 	actCrash
-	// actPause stops the node's calls of the log at both their ends, so that its appends take effect late.
+	// actPause delays the node's calls to the log, both before they are sent and before they return, so that its
+	// appends take effect late.
 	actPause
 	actOutage
 )
 
-// acts are drawn from evenly; most are appends.
-var acts = []act{
+// acts is sampled uniformly; most entries are appends.
+var acts = []action{
 	actAppend, actAppend, actAppend, actAppend, actAppend, actAppend, actAppend, actAppend,
-	actAppendImpatient, actConfirm, actConfirm, actRelease, actCrash, actPause, actPause, actOutage,
+	actAppendShortTimeout, actConfirm, actConfirm, actRelease, actCrash, actPause, actPause, actOutage,
 }
 
-// event is one act of a script, after a pause.
+// event is one action of a script, performed after a delay.
 type event struct {
 	Node  int
-	Act   act
+	Act   action
 	After time.Duration
 }
 
-// script is a run of several nodes that all claim one stream.
+// script is a sequence of events on several nodes that all claim one stream.
 type script struct {
 	Seed   uint64
-	Faults int // appends in 100 that fail, by any kind of fault
+	Faults int // appends out of 100 that fail, with any kind of fault
 	Events []event
 }
 
@@ -66,7 +67,7 @@
 	}
 }
 
-// pausableLog is one node's way to the log.
+// pausableLog is one node's connection to the log, which can be paused.
 type pausableLog struct {
 	*fakeLog
 	mu    sync.Mutex
@@ -86,7 +87,8 @@
 	time.Sleep(rest)
 }
 
-// Append holds the call like a process that was stopped: it goes on with what it had in hand, whatever its context says.
+// Append delays the call as if the process were suspended: the call continues after the pause even if its context has
+// ended.
 func (l *pausableLog) Append(ctx context.Context, stream string, payloads [][]byte) (int64, error) {
 	l.wait()
 	first, err := l.fakeLog.Append(context.WithoutCancel(ctx), stream, payloads)
@@ -101,74 +103,74 @@
 	return result, err
 }
 
-// fate is what a node was told of one append.
-type fate struct {
+// appendResult is the result that a node received for one record.
+type appendResult struct {
 	body     string
 	err      error
 	position any
 }
 
-// world runs a script and records what the nodes were told.
-type world struct {
-	log      *fakeLog
-	nodes    []*Manager
-	links    []*pausableLog
-	calls    sync.WaitGroup
-	mu       sync.Mutex
-	fates    []fate
-	problems []string
+// testEnv runs a script and records the results that the nodes received.
+type testEnv struct {
+	log        *fakeLog
+	nodes      []*Manager
+	links      []*pausableLog
+	calls      sync.WaitGroup
+	mu         sync.Mutex
+	results    []appendResult
+	violations []string
 }
 
-func newWorld(s script) *world {
-	w := &world{log: newFakeLog()}
-	w.log.SetDelay(roundTrip)
+func newTestEnv(s script) *testEnv {
+	env := &testEnv{log: newFakeLog()}
+	env.log.SetDelay(roundTrip)
 	random := rand.New(rand.NewPCG(s.Seed, 0))
-	w.log.setFault(func(string) fault {
+	env.log.setFault(func(string) fault {
 		if random.IntN(100) >= s.Faults {
 			return faultNone
 		}
 		return faultNotSent + fault(random.IntN(4))
 	})
 	for i := range 3 {
-		link := &pausableLog{fakeLog: w.log}
-		w.links = append(w.links, link)
-		w.nodes = append(w.nodes, w.newNode(i, link))
+		link := &pausableLog{fakeLog: env.log}
+		env.links = append(env.links, link)
+		env.nodes = append(env.nodes, env.newNode(i, link))
 	}
-	return w
+	return env
 }
 
-func (w *world) newNode(i int, link *pausableLog) *Manager {
-	// A process that comes back with the identity it had before is the harder case.
+func (env *testEnv) newNode(i int, link *pausableLog) *Manager {
+	// A restarted process gets the same identity as before, which is the harder case.
 	config := testConfig(link, fmt.Sprint("node", i))
 	config.Settings = Settings{SnapshotEvery: 4, SnapshotChunkBytes: 32, MaxBatchEntries: 3, ReadEntries: 5}
 	return NewManager(config)
 }
 
-func (w *world) do(index int, e event) {
-	m := w.nodes[e.Node]
+func (env *testEnv) perform(index int, e event) {
+	m := env.nodes[e.Node]
 	switch e.Act {
-	case actAppend, actAppendImpatient:
+	case actAppend, actAppendShortTimeout:
 		timeout := 10 * time.Second
-		if e.Act == actAppendImpatient {
+		if e.Act == actAppendShortTimeout {
 			timeout = 3 * time.Millisecond
 		}
-		w.calls.Go(func() { w.append(m, timeout, fmt.Sprint("event", index)) })
+		env.calls.Go(func() { env.append(m, timeout, fmt.Sprint("event", index)) })
 	case actConfirm:
-		w.calls.Go(func() { w.confirm(m) })
+		env.calls.Go(func() { env.confirm(m) })
 	case actRelease:
-		w.calls.Go(func() { w.release(m) })
+		env.calls.Go(func() { env.release(m) })
 	case actCrash:
-		w.calls.Go(m.Close)
-		w.nodes[e.Node] = w.newNode(e.Node, w.links[e.Node])
+		env.calls.Go(m.Close)
+		env.nodes[e.Node] = env.newNode(e.Node, env.links[e.Node])
 	case actPause:
-		w.links[e.Node].pause(300 * time.Millisecond)
+		env.links[e.Node].pause(300 * time.Millisecond)
 	case actOutage:
-		w.log.DownFor(100 * time.Millisecond)
+		env.log.DownFor(100 * time.Millisecond)
 	}
 }
 
-// append writes two records in one call, so that a call that takes effect by half would be seen.
-func (w *world) append(m *Manager, timeout time.Duration, body string) {
+// append writes two records in one call, so that a call that takes effect only partially is detected.
+func (env *testEnv) append(m *Manager, timeout time.Duration, body string) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	o, err := m.Open(ctx, testStream)
@@ -178,32 +180,32 @@
 	} else {
 		err = errors.Join(err, platform.ErrNotSent)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	for i := range 2 {
-		told := fate{body: fmt.Sprintf("%s/%d", body, i+1), err: err}
+		result := appendResult{body: fmt.Sprintf("%s/%d", body, i+1), err: err}
 		if err == nil {
-			told.position = outcomes[i]
+			result.position = outcomes[i]
 		}
-		w.fates = append(w.fates, told)
+		env.results = append(env.results, result)
 	}
 }
 
-// confirm checks a confirmation against the log as it was when the call began.
-func (w *world) confirm(m *Manager) {
+// confirm checks a confirmation against the contents of the log when the call started.
+func (env *testEnv) confirm(m *Manager) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	o, err := m.Open(ctx, testStream)
 	if err != nil {
 		return
 	}
-	_, before := refold(w.log.contents(testStream))
+	_, before := foldAll(env.log.contents(testStream))
 	if o.Confirm(ctx) == nil && (before.Epoch() > o.Epoch() || (before.Epoch() == o.Epoch() && before.position.Released)) {
-		w.problem("epoch %d was confirmed after epoch %d began", o.Epoch(), before.Epoch())
+		env.addViolation("epoch %d was confirmed after epoch %d began", o.Epoch(), before.Epoch())
 	}
 }
 
-func (w *world) release(m *Manager) {
+func (env *testEnv) release(m *Manager) {
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	if o, err := m.Open(ctx, testStream); err == nil {
@@ -211,65 +213,65 @@
 	}
 }
 
-func (w *world) problem(format string, arguments ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.problems = append(w.problems, fmt.Sprintf(format, arguments...))
+func (env *testEnv) addViolation(format string, arguments ...any) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.violations = append(env.violations, fmt.Sprintf(format, arguments...))
 }
 
-// finish ends the run and checks what was told against what every reader of the stream folds.
-func (w *world) finish() {
-	w.calls.Wait()
+// finish ends the run and compares the results that the nodes received with the fold of the stream.
+func (env *testEnv) finish() {
+	env.calls.Wait()
 	time.Sleep(10 * time.Second)
-	w.log.setFault(nil)
-	time.Sleep(10 * time.Second) // ends the retries and the late effects
-	folded, _ := refold(w.log.contents(testStream))
-	for _, m := range w.nodes {
-		w.checkOwner(m, folded)
+	env.log.setFault(nil)
+	time.Sleep(10 * time.Second) // lets the retries and the delayed appends finish
+	folded, _ := foldAll(env.log.contents(testStream))
+	for _, m := range env.nodes {
+		env.checkOwner(m, folded)
 		m.Close()
 	}
-	for _, told := range w.fates {
-		w.checkFate(told, folded)
+	for _, result := range env.results {
+		env.checkResult(result, folded)
 	}
 }
 
-// checkOwner checks an owned shard, and what a new owner recovers, snapshots and all.
-func (w *world) checkOwner(m *Manager, folded []string) {
+// checkOwner compares the state of an owned shard, or of a newly recovered one, snapshots included, with the fold.
+func (env *testEnv) checkOwner(m *Manager, folded []string) {
 	o, err := m.Open(context.Background(), testStream)
 	if err != nil {
-		w.problem("open after the faults: %v", err)
+		env.addViolation("open after the faults: %v", err)
 		return
 	}
 	if err := o.Confirm(context.Background()); err == nil && !slices.Equal(bodies(o), folded) {
-		w.problem("owner folded %v and a reader %v", bodies(o), folded)
+		env.addViolation("owner folded %v and a reader %v", bodies(o), folded)
 	}
 }
 
-func (w *world) checkFate(told fate, folded []string) {
+func (env *testEnv) checkResult(result appendResult, folded []string) {
 	count := 0
 	for _, body := range folded {
-		if body == told.body {
+		if body == result.body {
 			count++
 		}
 	}
 	var refusal *peer.Error
-	refused := errors.Is(told.err, ErrNotOwner) || errors.Is(told.err, platform.ErrNotSent) || errors.As(told.err, &refusal)
+	refused := errors.Is(result.err, ErrNotOwner) || errors.Is(result.err, platform.ErrNotSent) || errors.As(result.err, &refusal)
 	switch {
 	case count > 1:
-		w.problem("%s was folded %d times", told.body, count)
-	case told.err == nil && count == 0:
-		w.problem("%s was acknowledged and lost", told.body)
-	case told.err == nil && folded[told.position.(int)-1] != told.body:
-		w.problem("%s was acknowledged at place %v, where a reader finds %s", told.body, told.position, folded[told.position.(int)-1])
+		env.addViolation("%s was folded %d times", result.body, count)
+	case result.err == nil && count == 0:
+		env.addViolation("%s was acknowledged and lost", result.body)
+	case result.err == nil && folded[result.position.(int)-1] != result.body:
+		env.addViolation("%s was acknowledged at position %v, where a reader finds %s", result.body, result.position, folded[result.position.(int)-1])
 	case refused && count > 0:
-		w.problem("%s was refused with %v and took effect", told.body, told.err)
+		env.addViolation("%s was refused with %v and took effect", result.body, result.err)
 	}
 }
 
-// tally counts the records by what their writers were told.
-type tally struct{ acknowledged, notOwner, uncertain, refused int }
+// resultCounts counts the records by their append result.
+type resultCounts struct{ acknowledged, notOwner, uncertain, refused int }
 
-func (c *tally) add(err error) {
+func (c *resultCounts) add(err error) {
 	switch {
 	case err == nil:
 		c.acknowledged++
@@ -282,33 +284,36 @@
 	}
 }
 
-// runScript returns the broken promises of a script, and adds to the tally.
-func runScript(t *testing.T, s script, counts *tally) (problems []string) {
+// runScript runs a script, adds its results to counts and returns the violations found.
+func runScript(t *testing.T, s script, counts *resultCounts) (violations []string) {
 	synctest.Test(t, func(*testing.T) {
-		w := newWorld(s)
+		env := newTestEnv(s)
 		for i, e := range s.Events {
 			time.Sleep(e.After)
-			w.do(i, e)
+			env.perform(i, e)
 		}
-		w.finish()
-		problems = w.problems
-		for _, told := range w.fates {
-			counts.add(told.err)
+		env.finish()
+		violations = env.violations
+		for _, result := range env.results {
+			counts.add(result.err)
 		}
 	})
-	return problems
+	return violations
 }
 
-func TestEveryInterleavingKeepsThePromises(t *testing.T) {
-	var counts tally
+// TestRandomInterleavings runs random scripts of appends, confirmations, releases, crashes, pauses and outages on three
+// nodes. It guards against lost, repeated or partially written records, and against confirmations after a later epoch
+// began.
+func TestRandomInterleavings(t *testing.T) {
+	var counts resultCounts
 	rapid.Check(t, func(rt *rapid.T) {
-		problems := runScript(t, drawScript(rt), &counts)
-		if len(problems) > 0 {
-			rt.Fatalf("%d problems, first: %s", len(problems), problems[0])
+		violations := runScript(t, drawScript(rt), &counts)
+		if len(violations) > 0 {
+			rt.Fatalf("%d violations, first: %s", len(violations), violations[0])
 		}
 	})
 	t.Logf("records: %+v", counts)
 	if counts.acknowledged == 0 || counts.notOwner == 0 || counts.uncertain == 0 || counts.refused == 0 {
-		t.Fatal("a kind of answer did not come up, so that nothing was checked on it")
+		t.Fatal("some kind of append result did not occur, so it was not checked")
 	}
 }
--- a/internal/shard/reader.go
+++ b/internal/shard/reader.go
@@ -8,7 +8,7 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// reader reads ranges of one stream and counts what it read.
+// reader reads ranges of one stream and counts the entries and bytes read.
 type reader struct {
 	log        platform.Log
 	stream     string
@@ -26,7 +26,7 @@
 	return result.Tail, nil
 }
 
-// read returns entries from offset on, at most limit of them, and the tail.
+// read returns at most limit entries from offset on, and the tail.
 func (r *reader) read(ctx context.Context, offset int64, limit int) (platform.ReadResult, error) {
 	options := platform.ReadOptions{MaxEntries: min(limit, r.maxEntries)}
 	result, err := r.log.Read(ctx, r.stream, offset, options)
@@ -38,7 +38,7 @@
 	return result, nil
 }
 
-// readRange returns the entries from offset on up to end, by as many reads as the log needs for them.
+// readRange returns the entries from offset up to end, with as many reads as the log needs.
 func (r *reader) readRange(ctx context.Context, offset, end int64) ([]platform.Entry, error) {
 	var entries []platform.Entry
 	for offset < end {
@@ -55,7 +55,7 @@
 	return entries, nil
 }
 
-// payloadBytes adds up the payloads of entries.
+// payloadBytes returns the total payload size of entries.
 func payloadBytes(entries []platform.Entry) uint64 {
 	total := 0
 	for _, entry := range entries {
--- a/internal/shard/recovery.go
+++ b/internal/shard/recovery.go
@@ -20,7 +20,7 @@
 	logger   *log.Logger
 }
 
-// run reads the stream up to the tail that it had some time after the call.
+// run reads the stream up to the tail it had at some time after the call started.
 func (r *recovery) run(ctx context.Context) (*replica, error) {
 	main := &reader{log: r.log, stream: r.stream, maxEntries: r.settings.ReadEntries}
 	snapshots := &reader{log: r.log, stream: SnapshotStream(r.stream), maxEntries: r.settings.ReadEntries}
@@ -43,14 +43,15 @@
 	return empty, empty.catchUp(ctx, main)
 }
 
-// resume reads on from where a replica stands.
+// resume continues reading the stream from the position of a replica.
 func (r *recovery) resume(ctx context.Context, kept *replica) error {
 	main := &reader{log: r.log, stream: r.stream, maxEntries: r.settings.ReadEntries}
 	defer r.count(main)
 	return kept.catchUp(ctx, main)
 }
 
-// newestSnapshot searches the snapshot stream from its end; nil when it holds no usable snapshot within the bounds.
+// newestSnapshot searches the snapshot stream from its end; nil if there is no usable snapshot within the search
+// limits.
 func (r *recovery) newestSnapshot(ctx context.Context, source *reader) (*replica, error) {
 	end, err := source.tail(ctx)
 	if err != nil {
@@ -59,7 +60,7 @@
 	search := &snapshotSearch{partial: make(map[snapshotKey]*partialSnapshot)}
 	bad := 0
 	for searched := int64(0); end > 0 && searched < maxSnapshotWindow; {
-		window := min(int64(search.wanted()), end)
+		window := min(int64(search.windowSize()), end)
 		entries, err := source.readRange(ctx, end-window, end)
 		if err != nil {
 			return nil, err
@@ -79,7 +80,7 @@
 	return nil, nil
 }
 
-// tryEntry adds one entry to the search and returns the replica of the snapshot that it completes, if that is usable.
+// tryEntry adds one entry to the search. If the entry completes a usable snapshot, tryEntry returns its replica.
 func (r *recovery) tryEntry(search *snapshotSearch, payload []byte, bad *int) *replica {
 	complete := search.add(payload)
 	if complete == nil {
@@ -107,7 +108,7 @@
 	return &replica{state: state}, nil
 }
 
-// skip counts and logs a snapshot that cannot be used.
+// skip counts and logs an unusable snapshot.
 func (r *recovery) skip(cause error) {
 	r.counters.SnapshotsSkipped.Add(1)
 	errorlog.Warn(r.logger, "snapshot skipped", cause, "stream", r.stream)
--- a/internal/shard/replica.go
+++ b/internal/shard/replica.go
@@ -9,40 +9,41 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// errShortLog says that the log holds fewer entries than were read from it before.
+// errShortLog is returned if the log holds fewer entries than were read from it before.
 var errShortLog = errors.New("log ends before an offset already read")
 
-// replica is a fold of a stream together with the state folded from its valid records. It is not safe for concurrent
-// use.
+// replica is a fold of a stream and the state folded from its valid records. It is not safe for concurrent use.
 type replica struct {
 	fold  Fold
 	state State
-	// sinceEntries and sinceBytes count what was folded after the newest known snapshot, of snapshotSize bytes.
+	// sinceEntries and sinceBytes count what was folded since the newest known snapshot, whose size in bytes is
+	// snapshotSize.
 	sinceEntries int64
 	sinceBytes   int64
 	snapshotSize int64
 }
 
-// step is what one entry did to a replica.
-type step struct {
+// applyResult is the effect of one entry on a replica.
+type applyResult struct {
 	verdict Verdict
 	record  Record
 	outcome any
 }
 
 // apply folds the payload at the next offset.
-func (r *replica) apply(payload []byte) step {
+func (r *replica) apply(payload []byte) applyResult {
 	verdict, record := r.fold.Advance(payload)
 	r.sinceEntries++
 	r.sinceBytes += int64(len(payload))
-	result := step{verdict: verdict, record: record}
+	result := applyResult{verdict: verdict, record: record}
 	if verdict == VerdictRecord {
 		result.outcome = r.state.Apply(record)
 	}
 	return result
 }
 
-// catchUp reads and folds until the tail that the first read saw. It may only be used before the replica is shared.
+// catchUp reads and folds up to the tail that the first read returned. It must not be called after the replica is
+// shared.
 func (r *replica) catchUp(ctx context.Context, source *reader) error {
 	target := int64(-1)
 	for {
--- a/internal/shard/settings.go
+++ b/internal/shard/settings.go
@@ -2,47 +2,50 @@
 
 import "time"
 
-// Settings bounds what an owner does. Zero fields take their defaults.
+// Settings are the limits and intervals of owners and of the Manager. Zero fields get their default values.
 type Settings struct {
-	// MaxBatchEntries and MaxBatchBytes bound one append; the proposals of one Append call are never split over two.
+	// MaxBatchEntries and MaxBatchBytes limit one append; the proposals of one Append call are never split over two
+	// appends.
 	MaxBatchEntries int
 	MaxBatchBytes   int
-	// MaxEntryBytes bounds the body of one record.
+	// MaxEntryBytes limits the body of one record.
 	MaxEntryBytes int
-	// MaxQueued bounds the Append calls that wait for the log.
+	// MaxQueued limits the queued Append calls.
 	MaxQueued int
-	// AppendTimeout bounds the first try of an append; each further try gets twice the time, up to MaxAttemptTimeout.
+	// AppendTimeout limits the first attempt of an append; each further attempt has twice the timeout of the one
+	// before, up to MaxAttemptTimeout.
 	AppendTimeout     time.Duration
 	MaxAttemptTimeout time.Duration
-	// ReadEntries bounds the entries of one read.
+	// ReadEntries limits the entries of one read.
 	ReadEntries int
-	// FollowAfter is how long an owner must have appended nothing before it polls the tail of its stream, and the least
-	// time between two polls. FollowWait is how long the log may hold a poll open.
+	// FollowAfter is how long an owner must have appended nothing before it polls the tail of its stream, and the
+	// minimum interval between two polls. FollowWait is how long the log may hold a poll open.
 	FollowAfter time.Duration
 	FollowWait  time.Duration
-	// SnapshotEvery entries, or SnapshotBytes of them, a snapshot is due. It then waits until the entries since the last
-	// one are half its size, so that snapshots cost at most three times the bytes of the records, unless the state grows
-	// by more than the records put into it.
+	// A snapshot is due after SnapshotEvery entries or SnapshotBytes of them. It is delayed until the size of the
+	// entries since the last snapshot is half the size of that snapshot, so that snapshots cost at most three times the
+	// bytes of the records, unless the state grows by more than the records added to it.
 	SnapshotEvery int
 	SnapshotBytes int64
-	// SnapshotChunkBytes bounds the piece of a snapshot in one entry.
+	// SnapshotChunkBytes limits the part of a snapshot in one entry.
 	SnapshotChunkBytes int
-	// SnapshotRetry is the least time between a snapshot that failed and the next.
+	// SnapshotRetry is the minimum time between a failed snapshot and the next attempt.
 	SnapshotRetry time.Duration
-	// OpenTimeout bounds the opening of a shard.
+	// OpenTimeout limits the opening of a shard.
 	OpenTimeout time.Duration
-	// HandoverWait is how long a shard is left to an owner known to be alive although it is placed here.
+	// HandoverWait is how long the claim of a shard that is placed here is deferred while its owner is known to be
+	// alive.
 	HandoverWait time.Duration
-	// RefusalTTL is how long a refusal for such an owner is answered without reading the stream again.
+	// RefusalTTL is how long the refusal because of such an owner is repeated without reading the stream again.
 	RefusalTTL time.Duration
 	// SettleTime is how long an owned shard must be placed elsewhere before it is handed over.
 	SettleTime time.Duration
-	// DrainTimeout bounds the hand-over hook of one shard, and ReleaseTimeout its release.
+	// DrainTimeout limits the OnHandover hook of one shard, and ReleaseTimeout its release.
 	DrainTimeout   time.Duration
 	ReleaseTimeout time.Duration
 }
 
-// DefaultSettings are the settings for a log in the same region.
+// DefaultSettings returns the settings for a log in the same region.
 func DefaultSettings() Settings {
 	return Settings{
 		MaxBatchEntries:    512,
@@ -67,7 +70,7 @@
 	}
 }
 
-// withDefaults fills the fields that were left at zero.
+// withDefaults sets zero fields to their default values.
 func (s Settings) withDefaults() Settings {
 	defaults := DefaultSettings()
 	fill(&s.MaxBatchEntries, defaults.MaxBatchEntries)
@@ -92,7 +95,7 @@
 	return s
 }
 
-// fill sets a field that is zero.
+// fill sets a field to value if it is zero.
 func fill[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
--- a/internal/shard/snapshot.go
+++ b/internal/shard/snapshot.go
@@ -10,16 +10,16 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// snapshotSuffix makes the name of a stream's snapshot stream.
+// snapshotSuffix is appended to the name of a stream to get the name of its snapshot stream.
 const snapshotSuffix = ".snapshots"
 
-// Bounds on the search for a usable snapshot, in entries of the snapshot stream and in bad snapshots.
+// Limits on the search for a usable snapshot: entries of the snapshot stream searched, and bad snapshots found.
 const (
 	maxSnapshotWindow = 4096
 	maxBadSnapshots   = 4
 )
 
-// SnapshotStream names the stream that holds the snapshots of a stream.
+// SnapshotStream returns the name of the stream that holds the snapshots of a stream.
 func SnapshotStream(stream string) string { return stream + snapshotSuffix }
 
 // encodeSnapshot encodes a replica.
@@ -32,7 +32,7 @@
 	return body.MarshalMsg(nil)
 }
 
-// splitSnapshot cuts an encoded snapshot into entries of the snapshot stream.
+// splitSnapshot splits an encoded snapshot into entries of the snapshot stream.
 func splitSnapshot(encoded []byte, next int64, chunkBytes int) ([][]byte, error) {
 	count := max(1, (len(encoded)+chunkBytes-1)/chunkBytes)
 	chunk := snapshotChunk{
@@ -56,7 +56,7 @@
 	return payloads, nil
 }
 
-// writeSnapshot appends the pieces of a snapshot one by one. A snapshot that was written in part is never used.
+// writeSnapshot appends the chunks of a snapshot one by one. A partially written snapshot is never used.
 func writeSnapshot(ctx context.Context, log platform.Log, stream string, payloads [][]byte) error {
 	for _, payload := range payloads {
 		_, err := log.Append(ctx, SnapshotStream(stream), [][]byte{payload})
@@ -67,12 +67,12 @@
 	return nil
 }
 
-// snapshotSearch puts the chunks of snapshots together, read from the newest entry backwards.
+// snapshotSearch reassembles snapshots from their chunks, which are read from the newest entry backwards.
 type snapshotSearch struct {
 	partial map[snapshotKey]*partialSnapshot
 }
 
-// snapshotKey names one snapshot.
+// snapshotKey identifies one snapshot.
 type snapshotKey struct {
 	writer   uint64
 	next     int64
@@ -85,13 +85,13 @@
 	missing uint32
 }
 
-// completeSnapshot is an encoded snapshot with the checksum that its chunks state.
+// completeSnapshot is an encoded snapshot and the checksum recorded in its chunks.
 type completeSnapshot struct {
 	encoded  []byte
 	checksum uint64
 }
 
-// add takes one entry and returns the snapshot that it completes, nil where it completes none.
+// add adds one entry and returns the snapshot that it completes; nil if it completes none.
 func (s *snapshotSearch) add(payload []byte) *completeSnapshot {
 	var chunk snapshotChunk
 	err := decodeWhole(&chunk, payload)
@@ -124,19 +124,20 @@
 	return encoded
 }
 
-// wanted is how many more entries the newest unfinished snapshot needs at least.
-func (s *snapshotSearch) wanted() int {
-	wanted := 1
+// windowSize returns the number of entries to read next: enough to complete any unfinished snapshot, at least 1 and at
+// most maxSnapshotWindow.
+func (s *snapshotSearch) windowSize() int {
+	size := 1
 	for _, part := range s.partial {
-		wanted = max(wanted, int(min(part.missing, maxSnapshotWindow)))
+		size = max(size, int(min(part.missing, maxSnapshotWindow)))
 	}
-	return wanted
+	return size
 }
 
 // decodeSnapshot restores a replica from an encoded snapshot.
 func decodeSnapshot(snapshot *completeSnapshot, state State) (*replica, error) {
 	if xxhash.Sum64(snapshot.encoded) != snapshot.checksum {
-		return nil, oops.Errorf("checksum of snapshot differs")
+		return nil, oops.Errorf("snapshot checksum does not match")
 	}
 	var body snapshotBody
 	if err := decodeWhole(&body, snapshot.encoded); err != nil {
--- a/internal/shard/snapshot_test.go
+++ b/internal/shard/snapshot_test.go
@@ -15,7 +15,7 @@
 // snapshotSettings make a snapshot of several chunks due every few entries.
 var snapshotSettings = Settings{SnapshotEvery: 10, SnapshotChunkBytes: 64}
 
-// fillStream has node a write records until a snapshot covers most of them, and lose its shard without a release.
+// fillStream has node a write records, most of which are covered by a snapshot, and close without a release.
 func fillStream(t *testing.T, log *fakeLog, records int) []string {
 	config := testConfig(log, "a")
 	config.Settings = snapshotSettings
@@ -32,7 +32,7 @@
 	return bodies(o)
 }
 
-// reopen has node b open the stream, and returns its owner and its manager, which the test must close.
+// reopen has node b open the stream. It returns the owner and the manager, which the test must close.
 func reopen(t *testing.T, log *fakeLog) (Owner, *Manager) {
 	config := testConfig(log, "b")
 	config.Settings = snapshotSettings
@@ -40,12 +40,14 @@
 	return open(t, m), m
 }
 
-func TestRecoveryReadsFromTheNewestUsableSnapshot(t *testing.T) {
+// TestRecoveryUsesNewestUsableSnapshot damages the snapshot stream in several ways: recovery must use the newest usable
+// snapshot, or read the whole stream if there is none.
+func TestRecoveryUsesNewestUsableSnapshot(t *testing.T) {
 	const records = 40
 	snapshots := SnapshotStream(testStream)
 	cases := map[string]struct {
 		damage func(streams map[string][][]byte)
-		// skipped is how many snapshots are found unusable; fromStart says that the whole stream must be read.
+		// skipped is the number of snapshots found unusable; fromStart means that the whole stream must be read.
 		skipped   uint64
 		fromStart bool
 	}{
@@ -82,20 +84,20 @@
 				is.True(len(original.streams[snapshots]) > 8) // several snapshots of several chunks
 				test.damage(original.streams)
 				log := copyLog(original.streams)
-				want, _ := refold(log.contents(testStream))
+				want, _ := foldAll(log.contents(testStream))
 				o, m := reopen(t, log)
 				defer m.Close()
 				is.Equal(bodies(o), want)
 				is.Equal(o.Epoch(), uint64(2))
 				is.Equal(m.Counters().SnapshotsSkipped.Load(), test.skipped)
-				is.Equal(log.fromStart, test.fromStart)
+				is.Equal(log.readFromStart, test.fromStart)
 			})
 		})
 	}
 }
 
 func TestLargeSnapshotIsReadInSeveralReads(t *testing.T) {
-	inBubble(t, func(is *is.I, log *fakeLog) {
+	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		config := testConfig(log, "a")
 		config.Settings = Settings{SnapshotEvery: 11, SnapshotBytes: 1 << 30}
 		m := NewManager(config)
@@ -107,16 +109,18 @@
 		}
 		time.Sleep(time.Second)
 		is.Equal(m.Counters().Snapshots.Load(), uint64(1))
-		log.fromStart = false
+		log.readFromStart = false
 		second, other := reopen(t, log)
 		defer other.Close()
 		is.Equal(len(bodies(second)), 10)
-		is.True(!log.fromStart)
+		is.True(!log.readFromStart)
 	})
 }
 
-func TestSnapshotOfASupersededOwnerIsStillRight(t *testing.T) {
-	inBubble(t, func(is *is.I, log *fakeLog) {
+// TestSnapshotOfSupersededOwnerIsValid appends an old snapshot after a newer one: recovery from it must give the
+// current state.
+func TestSnapshotOfSupersededOwnerIsValid(t *testing.T) {
+	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		written := fillStream(t, log, 30)
 		second, m := reopen(t, log)
 		defer m.Close()
@@ -138,8 +142,10 @@
 	})
 }
 
-func TestClaimsAloneBringASnapshotAbout(t *testing.T) {
-	inBubble(t, func(is *is.I, log *fakeLog) {
+// TestClaimsTriggerSnapshot checks that a stream of claims without records is covered by snapshots, so that opening it
+// does not read all claims.
+func TestClaimsTriggerSnapshot(t *testing.T) {
+	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		for range 5 * snapshotSettings.SnapshotEvery {
 			_, m := reopen(t, log)
 			time.Sleep(time.Second)
@@ -151,8 +157,9 @@
 	})
 }
 
-func TestSnapshotsCostNoMoreThanThreeTimesTheRecords(t *testing.T) {
-	inBubble(t, func(is *is.I, log *fakeLog) {
+// TestSnapshotBytesLimit checks that snapshots of a growing state take at most three times the bytes of the records.
+func TestSnapshotBytesLimit(t *testing.T) {
+	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		config := testConfig(log, "a")
 		config.Settings = Settings{SnapshotEvery: 1}
 		m := NewManager(config)
@@ -169,7 +176,7 @@
 	})
 }
 
-// copyLog returns a log that holds these streams.
+// copyLog returns a log with the contents of the given streams.
 func copyLog(streams map[string][][]byte) *fakeLog {
 	log := newFakeLog()
 	for stream, payloads := range streams {
