--- a/internal/shard/manager.go
+++ b/internal/shard/manager.go
@@ -58,12 +58,12 @@
 	tasks  sync.WaitGroup
 
 	// mu guards the fields below. It is never held across a call to the log.
-	mu       sync.Mutex
-	owned    map[string]*owner
-	draining map[string]bool
-	opening  map[string]*opening
-	deferral claimDeferral
-	stopped  bool
+	mu            sync.Mutex
+	owned         map[string]*owner
+	draining      map[string]bool
+	opening       map[string]*opening
+	claimDeferral claimDeferral
+	stopped       bool
 }
 
 // opening is a shard that is being opened; owner and err are set before done is closed.
@@ -79,14 +79,14 @@
 	logger := cmp.Or(config.Logger, log.New(io.Discard))
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Manager{
-		config:   config,
-		logger:   logger,
-		ctx:      ctx,
-		cancel:   cancel,
-		owned:    make(map[string]*owner),
-		draining: make(map[string]bool),
-		opening:  make(map[string]*opening),
-		deferral: newClaimDeferral(config.Settings),
+		config:        config,
+		logger:        logger,
+		ctx:           ctx,
+		cancel:        cancel,
+		owned:         make(map[string]*owner),
+		draining:      make(map[string]bool),
+		opening:       make(map[string]*opening),
+		claimDeferral: newClaimDeferral(config.Settings),
 	}
 }
 
@@ -167,7 +167,7 @@
 	if m.draining[stream] {
 		return notReady("shard has just been handed over")
 	}
-	return m.deferral.refusal(stream)
+	return m.claimDeferral.refusal(stream)
 }
 
 // placed returns the member that should own a stream according to the placement.
--- a/internal/shard/manager_open.go
+++ b/internal/shard/manager_open.go
@@ -31,7 +31,7 @@
 	}
 	call.owner = newOwner(stream, restored, &m.config, &m.counters, m.logger)
 	m.owned[stream] = call.owner
-	m.deferral.remove(stream)
+	m.claimDeferral.remove(stream)
 	m.tasks.Go(func() { m.removeWhenDone(stream, call.owner) })
 	m.counters.Opens.Add(1)
 	m.counters.OpenMicros.Add(uint64(time.Since(began).Microseconds()))
@@ -75,7 +75,7 @@
 		logger:   m.logger,
 	}
 	m.mu.Lock()
-	kept := m.deferral.takeReplica(stream)
+	kept := m.claimDeferral.takeReplica(stream)
 	m.mu.Unlock()
 	if kept != nil {
 		return kept, reading.resume(ctx, kept)
@@ -98,11 +98,11 @@
 	if !m.config.Alive(current.Node, current.Incarnation) {
 		return nil
 	}
-	if m.deferral.waitExceeded(stream, restored.fold.Epoch()) {
+	if m.claimDeferral.waitExceeded(stream, restored.fold.Epoch()) {
 		m.logger.Warn("shard is taken from a live owner that does not release it", "stream", stream, "owner", current.Node)
 		return nil
 	}
-	return m.deferral.refuse(stream, current.PeerAddress, restored)
+	return m.claimDeferral.refuse(stream, current.PeerAddress, restored)
 }
 
 // refusalFor converts the error of an opening into a refusal for its callers. No caller's records have been written at
--- a/internal/shard/manager_run.go
+++ b/internal/shard/manager_run.go
@@ -38,7 +38,7 @@
 func (m *Manager) checkPlacement(misplaced map[string]time.Time, now time.Time) (due []string, wait time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.deferral.prune()
+	m.claimDeferral.prune()
 	settle := m.config.Settings.SettleTime
 	wait = settle
 	for stream := range misplaced {
--- a/internal/shard/snapshot.go
+++ b/internal/shard/snapshot.go
@@ -127,11 +127,11 @@
 // windowSize returns the number of entries to read next: enough to complete any unfinished snapshot, at least 1 and at
 // most maxSnapshotWindow.
 func (s *snapshotSearch) windowSize() int {
-	size := 1
+	windowSize := 1
 	for _, part := range s.partial {
-		size = max(size, int(min(part.missing, maxSnapshotWindow)))
+		windowSize = max(windowSize, int(min(part.missing, maxSnapshotWindow)))
 	}
-	return size
+	return windowSize
 }
 
 // decodeSnapshot restores a replica from an encoded snapshot.
--- a/internal/shard/snapshot_test.go
+++ b/internal/shard/snapshot_test.go
@@ -47,9 +47,9 @@
 	snapshots := SnapshotStream(testStream)
 	cases := map[string]struct {
 		damage func(streams map[string][][]byte)
-		// skipped is the number of snapshots found unusable; fromStart means that the whole stream must be read.
-		skipped   uint64
-		fromStart bool
+		// skipped is the number of snapshots found unusable; readFromStart means that the whole stream must be read.
+		skipped       uint64
+		readFromStart bool
 	}{
 		"whole": {damage: func(map[string][][]byte) {}},
 		"last chunk absent": {damage: func(streams map[string][][]byte) {
@@ -65,11 +65,11 @@
 			newest[len(newest)-1] ^= 1
 			streams[snapshots][len(streams[snapshots])-1] = newest
 		}},
-		"none": {fromStart: true, damage: func(streams map[string][][]byte) { delete(streams, snapshots) }},
-		"ahead of the stream": {skipped: 1, fromStart: true, damage: func(streams map[string][][]byte) {
+		"none": {readFromStart: true, damage: func(streams map[string][][]byte) { delete(streams, snapshots) }},
+		"ahead of the stream": {skipped: 1, readFromStart: true, damage: func(streams map[string][][]byte) {
 			streams[testStream] = streams[testStream][:5]
 		}},
-		"nothing but noise": {fromStart: true, damage: func(streams map[string][][]byte) {
+		"nothing but noise": {readFromStart: true, damage: func(streams map[string][][]byte) {
 			for i := range streams[snapshots] {
 				streams[snapshots][i] = []byte("noise")
 			}
@@ -90,7 +90,7 @@
 				is.Equal(bodies(o), want)
 				is.Equal(o.Epoch(), uint64(2))
 				is.Equal(m.Counters().SnapshotsSkipped.Load(), test.skipped)
-				is.Equal(log.readFromStart, test.fromStart)
+				is.Equal(log.readFromStart, test.readFromStart)
 			})
 		})
 	}
