--- a/internal/requestledger/service_test.go
+++ b/internal/requestledger/service_test.go
@@ -41,9 +41,9 @@
 		steps    []step
 		starts   int
 	}{
-		{"whole answer again to another ask", nil, nil,
+		{"complete answer is returned to another ask", nil, nil,
 			[]step{{ask: 1, want: completed}, {ask: 2, want: completed}, {ask: 3, resolve: true, want: completed}}, 1},
-		{"whole answer from the next owner", nil, nil,
+		{"complete answer is returned by the next owner", nil, nil,
 			[]step{{ask: 1, want: completed}, {ask: 2, node: 1, want: completed}}, 1},
 		{"other content is a conflict", nil, nil,
 			[]step{{ask: 1, want: completed}, {ask: 2, seed: 5, want: conflict}, {ask: 3, resolve: true, seed: 5, want: conflict}}, 1},
@@ -52,25 +52,25 @@
 		{"all engines refuse; the same ask stays not run, a new one runs", nil,
 			[]dispatchFault{dispatchRefused, dispatchRefused, dispatchRefused},
 			[]step{{ask: 1, want: notRun}, {ask: 1, want: notRun}, {ask: 2, want: completed}, {ask: 1, want: notRun}}, 1},
-		{"a lost dispatch is unknown for ever", nil, []dispatchFault{dispatchLost},
+		{"a lost dispatch stays unknown", nil, []dispatchFault{dispatchLost},
 			[]step{{ask: 1, want: unknown}, {ask: 2, want: unknown}, {ask: 3, node: 1, want: unknown}, {ask: 1, resolve: true, want: unknown}}, 1},
-		{"an answer that broke off is unknown", nil, []dispatchFault{dispatchBroken},
+		{"an interrupted answer is unknown", nil, []dispatchFault{dispatchBroken},
 			[]step{{ask: 1, want: unknown}, {ask: 2, want: unknown}}, 1},
 		{"a refusal after a lost dispatch proves nothing", nil, []dispatchFault{dispatchRefused, dispatchLost},
 			[]step{{ask: 1, want: unknown}}, 1},
 		{"a resolved ask is never run, a new one is", nil, nil,
 			[]step{{ask: 1, resolve: true, want: notRun}, {ask: 1, want: notRun}, {ask: 1, node: 1, want: notRun}, {ask: 2, node: 1, want: completed}, {ask: 1, resolve: true, node: 1, want: notRun}}, 1},
-		{"a Start of which only the answer was lost is closed as not run", []logFault{logLostResponse}, nil,
+		{"a Start whose response was lost is closed as not run", []logFault{logLostResponse}, nil,
 			[]step{{ask: 1, want: uncertain}, {ask: 1, resolve: true, want: notRun}, {ask: 1, want: notRun}, {ask: 2, want: completed}}, 1},
 		{"a Start that was lost is cancelled", []logFault{logLostRequest}, nil,
 			[]step{{ask: 1, want: uncertain}, {ask: 1, resolve: true, want: notRun}, {ask: 2, want: completed}}, 1},
-		{"the next owner cannot tell about a Start whose answer was lost", []logFault{logLostResponse}, nil,
+		{"a Start whose response was lost is unknown to the next owner", []logFault{logLostResponse}, nil,
 			[]step{{ask: 1, want: uncertain}, {ask: 1, resolve: true, node: 1, want: unknown}, {ask: 2, node: 1, want: unknown}}, 0},
-		{"a Finish of which the answer was lost is written again", []logFault{logOK, logLostResponse}, nil,
+		{"a Finish whose response was lost is written again", []logFault{logOK, logLostResponse}, nil,
 			[]step{{ask: 1, want: completed}, {ask: 2, want: completed}}, 1},
 		{"a Finish that was lost is written again", []logFault{logOK, logLostRequest, logLostRequest}, nil,
 			[]step{{ask: 1, want: completed}, {ask: 2, node: 1, want: completed}}, 1},
-		{"a Cancel of which the answer was lost leaves it open, then holds", []logFault{logLostResponse}, nil,
+		{"a Cancel whose response was lost is uncertain, then applies", []logFault{logLostResponse}, nil,
 			[]step{{ask: 1, resolve: true, want: uncertain}, {ask: 1, want: notRun}, {ask: 1, resolve: true, want: notRun}}, 0},
 	}
 	for _, tt := range cases {
@@ -384,7 +384,7 @@
 		first    askResult
 		after    askResult
 	}{
-		"whole answer":       {dispatchOK, completed, completed},
+		"complete answer":    {dispatchOK, completed, completed},
 		"broken answer":      {dispatchBroken, unknown, unknown},
 		"all engines refuse": {dispatchRefused, unknown, unknown},
 	} {
@@ -422,6 +422,7 @@
 	}
 }
 
+// TestMaxTokensLimit checks that a request whose answer could be too long to record is refused before it is dispatched.
 func TestMaxTokensLimit(t *testing.T) {
 	is := is.New(t)
 	engines := &fakeEngines{}
--- a/internal/requestledger/state_test.go
+++ b/internal/requestledger/state_test.go
@@ -87,6 +87,8 @@
 	is.Equal(fold(state, 2, kindFinish, forwarded), VerdictExists) // its owner was not lost
 }
 
+// TestClosedAsksAreBounded closes more asks of one request than MaxClosedAsks: no ask of the request may be started
+// afterwards, because the asks beyond the limit are not remembered.
 func TestClosedAsksAreBounded(t *testing.T) {
 	is := is.New(t)
 	state := NewState()
--- a/internal/shard/manager_test.go
+++ b/internal/shard/manager_test.go
@@ -21,6 +21,7 @@
 	return refusal
 }
 
+// TestOpenIsSharedByConcurrentCallers checks that concurrent Open calls append one claim and return the same owner.
 func TestOpenIsSharedByConcurrentCallers(t *testing.T) {
 	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		m := NewManager(testConfig(log, "a"))
@@ -39,6 +40,8 @@
 	})
 }
 
+// TestOpenRefusesShardPlacedElsewhere checks the refusals of Open: with the owner's address as hint if the shard is
+// placed elsewhere, and as not ready during an outage of the log and after a planned stop.
 func TestOpenRefusesShardPlacedElsewhere(t *testing.T) {
 	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		config := testConfig(log, "a")
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -70,6 +70,8 @@
 	}
 }
 
+// TestSupersededOwnerWritesNothing checks that an append after a newer claim has no effect and returns ErrNotOwner,
+// although the log accepted it.
 func TestSupersededOwnerWritesNothing(t *testing.T) {
 	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		first, second := NewManager(testConfig(log, "a")), NewManager(testConfig(log, "b"))
@@ -168,6 +170,7 @@
 	})
 }
 
+// TestAppendLimits checks that Append refuses a record over MaxEntryBytes and a call over MaxQueued.
 func TestAppendLimits(t *testing.T) {
 	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		config := testConfig(log, "a")
--- a/internal/shard/snapshot_test.go
+++ b/internal/shard/snapshot_test.go
@@ -96,6 +96,8 @@
 	}
 }
 
+// TestLargeSnapshotIsReadInSeveralReads checks that recovery uses a snapshot that is larger than the log returns in one
+// read.
 func TestLargeSnapshotIsReadInSeveralReads(t *testing.T) {
 	inVirtualTime(t, func(is *is.I, log *fakeLog) {
 		config := testConfig(log, "a")
