--- a/internal/forward/cut_test.go
+++ b/internal/forward/cut_test.go
@@ -10,46 +10,46 @@
 	"github.com/matryer/is"
 )
 
-// cutAfter is how long after a request began the tests have it cut off.
-const cutAfter = 1200 * time.Millisecond
+// cutOffDelay is the time between the start of a request and CutOff.
+const cutOffDelay = 1200 * time.Millisecond
 
-// TestCutOffAnswersWhatIsUnderWay checks that a request and a stream at silent engines end when they are cut off, that neither is told to
-// have not run, and that the engines are not blamed, though others stand at their addresses soon after.
-func TestCutOffAnswersWhatIsUnderWay(t *testing.T) {
+// TestCutOffEndsRunningRequests checks that CutOff ends a request and a stream at silent engines, that neither is reported as not run,
+// and that the quarantine counts no engine as ended under them, although new engines replace the silent ones soon after.
+func TestCutOffEndsRunningRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := quarantinedWorld(t)
+		env := newQuarantineEnv(t)
 		for _, id := range []string{"a", "b", "c"} {
-			w.engines.Behave(id, memoryengine.Behaviour{Silent: true})
+			env.engines.Behave(id, memoryengine.Behaviour{Silent: true})
 		}
-		began := time.Now()
-		time.AfterFunc(cutAfter, w.forwarder.CutOff)
+		started := time.Now()
+		time.AfterFunc(cutOffDelay, env.forwarder.CutOff)
 		streamed := make(chan forward.Answer, 1)
-		go func() { streamed <- w.forwarder.Stream(t.Context(), streamRequest(true, 10), new(receiver)) }()
-		answer := w.forwarder.Do(t.Context(), crashRequest(false))
+		go func() { streamed <- env.forwarder.Stream(t.Context(), streamRequest(true, 10), new(receiver)) }()
+		answer := env.forwarder.Do(t.Context(), crashRequest(false))
 		is.Equal(answer.Outcome, forward.TimedOut)
-		is.Equal(answer.RanAt, began)
+		is.Equal(answer.RanAt, started)
 		is.Equal((<-streamed).Outcome, forward.TimedOut)
-		is.Equal(time.Since(began), cutAfter)
+		is.Equal(time.Since(started), cutOffDelay)
 		synctest.Wait()
 		for _, id := range []string{"a", "b", "c"} {
-			engine, _ := w.directory.Engine(id)
+			engine, _ := env.directory.Engine(id)
 			engine.ID = "next-" + id
-			w.directory.Upsert(engine)
+			env.directory.Upsert(engine)
 		}
-		time.Sleep(15 * time.Second) // longer than a successor is looked for
-		is.Equal(w.held.Contents(), 0)
+		time.Sleep(15 * time.Second) // longer than the quarantine waits for a silent engine's successor
+		is.Equal(env.quarantine.Contents(), 0)
 	})
 }
 
-// TestWhatComesAfterTheCutIsNotRun checks that requests that come after the others were cut off are refused and reach no engine.
-func TestWhatComesAfterTheCutIsNotRun(t *testing.T) {
+// TestRequestsAfterCutOffAreNotRun checks that requests that arrive after CutOff are refused and reach no engine.
+func TestRequestsAfterCutOffAreNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(map[string]memoryengine.Behaviour{"a": {Work: work, Pace: work}})
-		w.forwarder.CutOff()
-		is.Equal(w.forwarder.Do(t.Context(), request(true)).Outcome, forward.NotRun)
-		is.Equal(w.forwarder.Stream(t.Context(), streamRequest(true, 10), new(receiver)).Outcome, forward.NotRun)
-		is.Equal(len(w.engines.Runs()), 0)
+		env := newTestEnv(map[string]memoryengine.Behaviour{"a": {Work: work, Pace: work}})
+		env.forwarder.CutOff()
+		is.Equal(env.forwarder.Do(t.Context(), request(true)).Outcome, forward.NotRun)
+		is.Equal(env.forwarder.Stream(t.Context(), streamRequest(true, 10), new(receiver)).Outcome, forward.NotRun)
+		is.Equal(len(env.engines.Runs()), 0)
 	})
 }
--- a/internal/forward/ejection_test.go
+++ b/internal/forward/ejection_test.go
@@ -11,34 +11,34 @@
 	"github.com/matryer/is"
 )
 
-// TestRequestsGoByEjections checks which requests an engine gets that is nearest and fails: none while it is ejected, then one that may be
-// repeated as a trial, and all again once that was answered. Load: callers at a steady rate beside an engine that is gone for 2 s.
-func TestRequestsGoByEjections(t *testing.T) {
+// TestEjectedEngineGetsOnlyTrials checks which requests the nearest engine gets when it fails for 2 s under a constant request rate: none
+// while it is ejected, then one repeatable request as a trial, and all requests again once the trial was answered.
+func TestEjectedEngineGetsOnlyTrials(t *testing.T) {
 	good := memoryengine.Behaviour{Work: work}
 	tests := []struct {
 		name string
-		// bad is how the engine fails for 2 s.
+		// bad is the engine's behaviour for the first 2 s.
 		bad       memoryengine.Behaviour
 		mayRepeat bool
-		// most bounds the requests that it is offered meanwhile, lost those that have no answer.
-		most, lost int
-		// back is after how long it has work again, once it is well.
-		back time.Duration
+		// maxOffered limits the requests offered to the engine while it fails, maxLost those that are not answered.
+		maxOffered, maxLost int
+		// recovery is the time from the end of the failure until the engine is checked for requests again.
+		recovery time.Duration
 	}{
-		{"refusing, requests that may be repeated", memoryengine.Behaviour{Down: true}, true, 3, 0, 2 * time.Second},
-		{"refusing, requests that may not", memoryengine.Behaviour{Down: true}, false, 1, 0, 5 * time.Second},
-		{"answering for others, requests that may be repeated", memoryengine.Behaviour{Work: work, Foreign: true}, true, 5, 0, 2 * time.Second},
-		{"answering for others, requests that may not", memoryengine.Behaviour{Work: work, Foreign: true}, false, 3, 3, 5 * time.Second},
+		{"connection refused, repeatable requests", memoryengine.Behaviour{Down: true}, true, 3, 0, 2 * time.Second},
+		{"connection refused, requests that may not be repeated", memoryengine.Behaviour{Down: true}, false, 1, 0, 5 * time.Second},
+		{"foreign responses, repeatable requests", memoryengine.Behaviour{Work: work, Foreign: true}, true, 5, 0, 2 * time.Second},
+		{"foreign responses, requests that may not be repeated", memoryengine.Behaviour{Work: work, Foreign: true}, false, 3, 3, 5 * time.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(map[string]memoryengine.Behaviour{"a": test.bad, "b": good, "c": good})
+				env := newTestEnv(map[string]memoryengine.Behaviour{"a": test.bad, "b": good, "c": good})
 				offered, lost := 0, 0
-				play := func(lasts time.Duration) {
-					for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-						answer := w.forwarder.Do(t.Context(), request(test.mayRepeat))
+				sendFor := func(duration time.Duration) {
+					for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+						answer := env.forwarder.Do(t.Context(), request(test.mayRepeat))
 						if answer.Outcome != forward.Answered {
 							lost++
 						}
@@ -47,15 +47,15 @@
 						}
 					}
 				}
-				play(2 * time.Second)
+				sendFor(2 * time.Second)
 				is.True(offered >= 1)
-				is.True(offered <= test.most)
-				is.True(lost <= test.lost)
+				is.True(offered <= test.maxOffered)
+				is.True(lost <= test.maxLost)
 
-				w.engines.Behave("a", good)
-				play(test.back)
+				env.engines.Behave("a", good)
+				sendFor(test.recovery)
 				offered, lost = 0, 0
-				play(time.Second)
+				sendFor(time.Second)
 				is.True(offered > 5)
 				is.Equal(lost, 0)
 			})
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -13,52 +13,53 @@
 	"github.com/hillfork/hillfork/internal/quarantine"
 )
 
-// attempt is what became of one send.
+// attempt is the result of sending a request to one engine.
 type attempt struct {
 	engine fleet.Engine
 	reply  *engineapi.Reply
 	body   []byte
 	err    error
-	// sentAt is when the attempt began, took how long it lasted.
-	sentAt time.Time
-	took   time.Duration
-	// standing is how the request stands after it.
+	// sentAt is when the attempt started, duration how long it lasted.
+	sentAt   time.Time
+	duration time.Duration
+	// standing is the request's standing at the quarantine after the attempt.
 	standing quarantine.Standing
 }
 
-// exchange is one request under way. Only the goroutine of conduct touches its fields; results come by the channel.
+// exchange is a request in progress. Only the goroutine of run accesses its fields; attempts deliver their results on the channel.
 type exchange struct {
 	forwarder *Forwarder
 	request   Request
 	started   time.Time
 	results   chan attempt
-	// tried holds the engines that the request was sent to or that turned it away.
-	tried    []string
-	running  int
-	sent     int
-	refusals int
-	failures int
-	// standing says whether engines have ended under the request.
+	// tried holds the engines to skip: those of all attempts since awaitSlot last cleared the list.
+	tried      []string
+	running    int
+	sent       int
+	rejections int
+	failures   int
+	// standing says whether engines have crashed under the request.
 	standing quarantine.Standing
-	// mayHaveRun says that some attempt is not proven not to have run.
+	// mayHaveRun is set once an attempt has ended that is not proven not to have run.
 	mayHaveRun  bool
 	lastFailure *attempt
-	// firstSent is when the first attempt was sent that is not proven not to have run; ranAt when the first one was that was answered.
-	firstSent time.Time
-	ranAt     time.Time
-	// offered holds every engine that the request was offered to; cause is what the last one failed of.
+	// firstSentAt is the send time of the first attempt that is not proven not to have run; firstRunAt is the earliest send time of the
+	// attempts that were answered.
+	firstSentAt time.Time
+	firstRunAt  time.Time
+	// offered holds the engine of every attempt; cause is why the last attempt to end failed.
 	offered []string
 	cause   string
 }
 
-// conduct starts attempts and takes their results until the request is settled.
-func (e *exchange) conduct(ctx context.Context) Answer {
+// run starts attempts and handles their results until the request has an outcome.
+func (e *exchange) run(ctx context.Context) Answer {
 	for {
 		if e.running == 0 {
 			if !e.mayStart() {
 				return e.settle()
 			}
-			if !e.start(ctx) && !e.awaitRoom(ctx) {
+			if !e.start(ctx) && !e.awaitSlot(ctx) {
 				return e.settle()
 			}
 			continue
@@ -67,7 +68,7 @@
 		select {
 		case result := <-e.results:
 			e.running--
-			if answer, done := e.take(result); done {
+			if answer, done := e.handleResult(result); done {
 				hedge.Stop()
 				return answer
 			}
@@ -83,15 +84,15 @@
 	}
 }
 
-// mayStart tells whether the request may be sent to another engine.
+// mayStart reports whether the request may be sent to another engine.
 func (e *exchange) mayStart() bool {
-	if e.refusals >= refusalsMost || e.sent >= e.request.MaxAttempts || e.standing == quarantine.Withheld {
+	if e.rejections >= maxRejections || e.sent >= e.request.MaxAttempts || e.standing == quarantine.Withheld {
 		return false
 	}
 	return !e.mayHaveRun || e.request.MayRepeat
 }
 
-// start sends the request to the best engine that was not tried; it returns false if there is none.
+// start sends the request to the best engine that was not tried. It returns false if there is none.
 func (e *exchange) start(ctx context.Context) bool {
 	engine, ok := e.forwarder.config.Directory.Acquire(fleet.Want{
 		Pool: e.request.Pool, Regions: e.request.Regions, Exclude: e.tried, Zone: e.forwarder.config.Zone,
@@ -104,26 +105,26 @@
 	e.offered = append(e.offered, engine.ID)
 	e.running++
 	e.sent++
-	if e.firstSent.IsZero() {
-		e.firstSent = time.Now()
+	if e.firstSentAt.IsZero() {
+		e.firstSentAt = time.Now()
 	}
 	call := e.request.Call
 	call.Remaining = time.Until(e.request.Deadline)
 	go func() {
 		defer e.forwarder.config.Directory.Release(engine.ID)
-		e.results <- e.forwarder.send(ctx, engine, call, e.request.strikes())
+		e.results <- e.forwarder.send(ctx, engine, call, e.request.crashLimit())
 	}()
 	return true
 }
 
-// awaitRoom waits for engines after all that exist were tried. It returns false once patience is over.
-func (e *exchange) awaitRoom(ctx context.Context) bool {
+// awaitSlot waits for a free slot after all available engines were tried. It returns false once the request's patience or ctx has ended.
+func (e *exchange) awaitSlot(ctx context.Context) bool {
 	if time.Since(e.started) >= e.request.Patience || ctx.Err() != nil {
 		return false
 	}
-	// Every engine was tried; from here on each may be tried again.
+	// Every available engine was tried, so each may be tried again.
 	e.tried = nil
-	timer := time.NewTimer(roomPoll)
+	timer := time.NewTimer(slotPollInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -133,63 +134,64 @@
 	return ctx.Err() == nil
 }
 
-// hedgeDelay is how long to wait for the running attempts before another engine is tried as well.
+// hedgeDelay returns how long to wait for the running attempt before a hedged attempt at another engine. Where hedging is not
+// allowed, the delay ends after the deadline.
 func (e *exchange) hedgeDelay() time.Duration {
 	if !e.request.MayRepeat || !e.mayStart() || e.running > 1 || e.standing != quarantine.Clear {
 		return time.Until(e.request.Deadline) + time.Second
 	}
-	usual := e.forwarder.config.Directory.SmoothedLatency(e.request.Pool)
-	return max(time.Duration(hedgeShare*float64(e.request.Aim)), hedgeLatencies*usual)
+	latency := e.forwarder.config.Directory.SmoothedLatency(e.request.Pool)
+	return max(time.Duration(hedgeTargetShare*float64(e.request.Aim)), hedgeLatencyFactor*latency)
 }
 
-// take judges the result of an attempt.
-func (e *exchange) take(result attempt) (Answer, bool) {
+// handleResult records the result of an attempt. It returns the answer and true if the result is a success.
+func (e *exchange) handleResult(result attempt) (Answer, bool) {
 	directory := e.forwarder.config.Directory
 	e.cause = result.cause()
 	e.standing = max(e.standing, result.standing)
 	switch {
 	case errors.Is(result.err, engineapi.ErrNotSent):
 		directory.Failed(result.engine.ID, result.failure(), e.cause)
-		e.turnedAway()
+		e.recordRejection()
 	case result.err != nil:
 		directory.Failed(result.engine.ID, policy.FailureInWork, e.cause)
 		e.mayHaveRun = true
 	case result.reply.NotRun:
 		directory.TurnedAway(result.engine.ID)
-		e.turnedAway()
+		e.recordRejection()
 	case result.reply.Stamp == "" && result.reply.Status < http.StatusMultipleChoices:
-		// A success without the engine's signature is none.
+		// A success without the engine's signature does not come from the engine and counts as a failure.
 		directory.Failed(result.engine.ID, policy.FailureInWork, e.cause)
 		e.mayHaveRun = true
 	case result.reply.Status >= http.StatusInternalServerError:
 		e.failures++
 		e.mayHaveRun = true
 		e.lastFailure = &result
-		e.ran(result.sentAt)
-		e.cleared(&result)
+		e.recordRun(result.sentAt)
+		e.reportAnswered(&result)
 	default:
-		e.ran(result.sentAt)
+		e.recordRun(result.sentAt)
 		directory.Answered(result.engine.ID, result.sentAt)
-		directory.Succeeded(result.engine.ID, result.took)
-		e.cleared(&result)
+		directory.Succeeded(result.engine.ID, result.duration)
+		e.reportAnswered(&result)
 		return e.answered(&result), true
 	}
 	return Answer{}, false
 }
 
-// cleared takes that an engine outlived the request, if its signature says so.
-func (e *exchange) cleared(result *attempt) {
+// reportAnswered reports to the quarantine that an engine survived the request, if the engine's signature proves it.
+func (e *exchange) reportAnswered(result *attempt) {
 	if result.reply.Stamp != "" {
 		e.forwarder.config.Quarantine.Answered(e.request.Call)
 	}
 }
 
-// withheld is the answer to a request that is sent to no engine.
+// withheld returns the answer to a request that is withheld from engines.
 func withheld(call engineapi.Call, wait time.Duration) Answer {
 	return Answer{Outcome: Withheld, RetryAfter: wait, Cause: causeWithheld, Content: quarantine.ContentOf(call).String()}
 }
 
-// cause says what the attempt failed of, empty if it did not.
+// cause returns why the attempt failed, empty if it did not.
 func (a *attempt) cause() string {
 	switch {
 	case a.err != nil:
@@ -205,7 +207,8 @@
 	}
 }
 
-// failure returns the kind of failure of an attempt that was not sent: the time was over before there was a connection, or none was made.
+// failure classifies an attempt that was not sent: FailureInWork if its context ended before it had a connection, FailureToConnect
+// if no connection was made.
 func (a *attempt) failure() policy.Failure {
 	if errors.Is(a.err, context.Canceled) || errors.Is(a.err, context.DeadlineExceeded) {
 		return policy.FailureInWork
@@ -213,29 +216,29 @@
 	return policy.FailureToConnect
 }
 
-// turnedAway takes back an attempt that has not run.
-func (e *exchange) turnedAway() {
+// recordRejection uncounts an attempt that has not run.
+func (e *exchange) recordRejection() {
 	e.sent--
-	e.refusals++
+	e.rejections++
 	if e.running == 0 && !e.mayHaveRun {
-		e.firstSent = time.Time{}
+		e.firstSentAt = time.Time{}
 	}
 }
 
-// ran takes that an engine has answered an attempt that it ran.
-func (e *exchange) ran(sentAt time.Time) {
-	if e.ranAt.IsZero() || sentAt.Before(e.ranAt) {
-		e.ranAt = sentAt
+// recordRun records that an engine has run and answered the attempt sent at sentAt.
+func (e *exchange) recordRun(sentAt time.Time) {
+	if e.firstRunAt.IsZero() || sentAt.Before(e.firstRunAt) {
+		e.firstRunAt = sentAt
 	}
 }
 
-// beganAt is when the request began to run, as far as that can be told, zero if it did not.
-func (e *exchange) beganAt() time.Time {
+// startedAt returns when the request started to run as far as is known, zero if it did not.
+func (e *exchange) startedAt() time.Time {
 	switch {
-	case !e.ranAt.IsZero():
-		return e.ranAt
+	case !e.firstRunAt.IsZero():
+		return e.firstRunAt
 	case e.mayHaveRun || e.running > 0:
-		return e.firstSent
+		return e.firstSentAt
 	default:
 		return time.Time{}
 	}
@@ -244,17 +247,17 @@
 func (e *exchange) answered(result *attempt) Answer {
 	return Answer{
 		Outcome: Answered, Reply: result.reply, Body: result.body, Attempts: e.sent, Failures: e.failures,
-		EngineID: result.engine.ID, Tried: e.offered, Cause: e.cause, RanAt: e.beganAt(),
+		EngineID: result.engine.ID, Tried: e.offered, Cause: e.cause, RanAt: e.startedAt(),
 	}
 }
 
-// settle ends a request that no further attempt is made for.
+// settle returns the answer to a request for which no further attempt is made.
 func (e *exchange) settle() Answer {
 	if e.lastFailure != nil {
 		return e.answered(e.lastFailure)
 	}
 	answer := Answer{
-		Outcome: Lost, Attempts: e.sent, Failures: e.failures, Tried: e.offered, Cause: e.cause, RanAt: e.beganAt(),
+		Outcome: Lost, Attempts: e.sent, Failures: e.failures, Tried: e.offered, Cause: e.cause, RanAt: e.startedAt(),
 	}
 	if len(e.offered) == 0 {
 		answer.Cause = causeNoEngine
@@ -266,10 +269,10 @@
 	return answer
 }
 
-// timeout ends a request whose time is over; what still runs may have run.
+// timeout returns the answer to a request whose context has ended. Attempts still running count as possibly run.
 func (e *exchange) timeout() Answer {
 	answer := Answer{
-		Outcome: TimedOut, Attempts: e.sent, Failures: e.failures, Tried: e.offered, Cause: e.cause, RanAt: e.beganAt(),
+		Outcome: TimedOut, Attempts: e.sent, Failures: e.failures, Tried: e.offered, Cause: e.cause, RanAt: e.startedAt(),
 	}
 	if e.running > 0 {
 		answer.Cause = causeSilent
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,6 +1,6 @@
-// Package forward carries one request of a caller to engines of a pool and tells its outcome. It repeats a request on
-// another engine only where the request may run twice or provably has not run, and says "not run" only where that is
-// proven for every attempt.
+// Package forward sends a caller's request to engines of a pool and returns its outcome. It retries a request on another
+// engine only if the request may run twice or provably has not run, and reports "not run" only if that is proven for every
+// attempt.
 package forward
 
 import (
@@ -16,22 +16,22 @@
 	"github.com/hillfork/hillfork/internal/quarantine"
 )
 
-// Outcome says what became of a request.
+// Outcome is the result of a request.
 type Outcome int
 
 // Outcomes of a request.
 const (
-	// Answered says that an engine gave a whole answer; its status may be a failure.
+	// Answered means that an engine returned a complete response; its status may be a failure.
 	Answered Outcome = iota
-	// NotRun says that no engine has run the request or will.
+	// NotRun means that no engine has run the request or will run it.
 	NotRun
-	// Lost says that an engine may have run the request and its answer is lost.
+	// Lost means that an engine may have run the request but its response is lost.
 	Lost
-	// TimedOut says that time ran out after the request was sent to an engine.
+	// TimedOut means that the deadline passed after the request was sent to an engine.
 	TimedOut
-	// Abandoned says that the caller has gone.
+	// Abandoned means that the caller canceled the request or disconnected.
 	Abandoned
-	// Withheld says that the request was sent to no engine, since engines have ended under its like.
+	// Withheld means that the request was sent to no engine because engines have crashed under requests of the same content.
 	Withheld
 )
 
@@ -42,54 +42,55 @@
 	return outcomeNames[o]
 }
 
-// Request is one request of a caller.
+// Request is a caller's request.
 type Request struct {
 	Pool string
-	// Regions are those whose engines may run the request, nil for all.
+	// Regions are the regions whose engines may run the request, nil for all.
 	Regions []string
 	Call    engineapi.Call
-	// Deadline is when the answer is of no use any more.
+	// Deadline is the time after which the response is of no use.
 	Deadline time.Time
-	// Patience is how long to wait for an engine with room before the request is refused.
+	// Patience is how long the request waits for an engine with a free slot before it is refused.
 	Patience time.Duration
-	// Aim is the time within which the answer earns its full credit.
+	// Aim is the latency target: a response within it earns full credit.
 	Aim time.Duration
-	// MaxAttempts bounds the engines that may have run the request.
+	// MaxAttempts limits the number of attempts that may have run the request.
 	MaxAttempts int
-	// MayRepeat says that the request may run more than once.
+	// MayRepeat allows the request to run more than once.
 	MayRepeat bool
-	// Strikes is how many engines may end under requests of this content before they are withheld, 0 for the usual number.
+	// Strikes is the crash limit: the number of engines that may crash under requests of this content before such requests are
+	// withheld. 0 means policy.RequestStrikes.
 	Strikes int
 }
 
-func (r Request) strikes() int {
+func (r Request) crashLimit() int {
 	if r.Strikes == 0 {
 		return policy.RequestStrikes
 	}
 	return r.Strikes
 }
 
-// Answer is the outcome of a request.
+// Answer is the result of a request.
 type Answer struct {
 	Outcome Outcome
-	// Reply and Body are the engine's answer if Outcome is Answered.
+	// Reply and Body are the engine's response if Outcome is Answered.
 	Reply *engineapi.Reply
 	Body  []byte
-	// RetryAfter tells a caller whose request was not run when to come back.
+	// RetryAfter is the delay after which a caller whose request was not run should retry.
 	RetryAfter time.Duration
-	// RanAt is when the request began to run, or may have: when the attempt was sent that an engine answered first, or the first one of
-	// which no engine said anything. It is zero if no engine has run the request.
+	// RanAt is when the request started to run or may have started: the send time of the earliest attempt that an engine answered,
+	// or of the first attempt without a response if there is none. It is zero if no engine has run the request.
 	RanAt time.Time
-	// Attempts counts the engines the request was sent to; Failures those that answered 500.
+	// Attempts counts the attempts that were not rejected; Failures counts those that were answered with a status of 500 or above.
 	Attempts int
 	Failures int
-	// EngineID is the engine that answered last.
+	// EngineID is the engine whose response this is.
 	EngineID string
-	// Tried are the engines that the request was offered to, each as often as it was.
+	// Tried lists the engine of every attempt in order, rejected attempts included.
 	Tried []string
-	// Cause says what the last attempt failed of, empty if none failed.
+	// Cause is why the last attempt failed, empty if it did not.
 	Cause string
-	// Content is what the request asks, if it was withheld.
+	// Content identifies the content of a withheld request.
 	Content string
 }
 
@@ -97,17 +98,17 @@
 type Config struct {
 	Client    engineapi.Client
 	Directory *fleet.Directory
-	// Quarantine watches requests whose engines end, nil for none.
+	// Quarantine withholds requests that crash engines, nil for none.
 	Quarantine *quarantine.Quarantine
 	Zone       string
 	Logger     *log.Logger
 }
 
-// Forwarder carries requests. It is safe for concurrent use.
+// Forwarder sends requests to engines. It is safe for concurrent use.
 type Forwarder struct {
 	config Config
 	hedges hedgeBudget
-	// cut ends with CutOff.
+	// cut is canceled by CutOff.
 	cut    context.Context
 	cutOff context.CancelFunc
 }
@@ -118,15 +119,15 @@
 	return &Forwarder{config: config, cut: cut, cutOff: cutOff}
 }
 
-// CutOff ends the requests under way as if their time were over, so that each is still answered with what is known of it, and refuses those
-// that come later. A process calls it shortly before it ends.
+// CutOff ends all requests in progress as if their deadline had passed, so that each caller still gets an outcome, and refuses later
+// requests. A process calls it shortly before it exits.
 func (f *Forwarder) CutOff() {
 	f.cutOff()
 }
 
-// untilCut returns a context that ends with another, and when requests are cut off. Attempts that end so are settled: their engines did
-// nothing wrong.
-func (f *Forwarder) untilCut(ctx context.Context) (context.Context, context.CancelCauseFunc) {
+// withCutOff returns a context that ends with ctx or with CutOff. Attempts that CutOff ends have the cause errSettled, so that their
+// engines are not reported as failed.
+func (f *Forwarder) withCutOff(ctx context.Context) (context.Context, context.CancelCauseFunc) {
 	ctx, settle := context.WithCancelCause(ctx)
 	stop := context.AfterFunc(f.cut, func() { settle(errSettled) })
 	return ctx, func(cause error) {
@@ -135,62 +136,62 @@
 	}
 }
 
-// refused is the answer to a request that comes after requests were cut off.
+// refused returns the answer to a request that arrives after CutOff.
 func refused() Answer {
 	return Answer{Outcome: NotRun, Cause: causeStopped}
 }
 
 const (
-	// retryAfter is what a refused caller is told: engines regain room within fractions of a second.
+	// retryAfter is the retry delay for a refused caller: engines free slots within fractions of a second.
 	retryAfter = 250 * time.Millisecond
-	// refusalsMost bounds the engines that may turn one request away before it is given up.
-	refusalsMost = 12
-	// roomPoll is how long to wait before engines that turned the request away are asked again.
-	roomPoll = 15 * time.Millisecond
-	// bodyMost bounds an answer that is held whole before it is passed on.
-	bodyMost = 64 << 20
-	// hedgeShare of the aim goes by before a second engine is tried.
-	hedgeShare = 0.45
-	// hedgeLatencies is how many times the usual latency must have gone by before that.
-	hedgeLatencies = 3
+	// maxRejections is the number of rejected attempts after which a request is no longer sent to engines.
+	maxRejections = 12
+	// slotPollInterval is the delay before engines that rejected the request are tried again.
+	slotPollInterval = 15 * time.Millisecond
+	// maxBodyBytes limits a response body, which is buffered completely before it is returned.
+	maxBodyBytes = 64 << 20
+	// hedgeTargetShare is the share of the latency target (Request.Aim) that passes before a hedged attempt at a second engine.
+	hedgeTargetShare = 0.45
+	// hedgeLatencyFactor times the pool's smoothed latency is the minimum delay before a hedged attempt.
+	hedgeLatencyFactor = 3
 )
 
-// Do carries a request whose answer is passed on whole.
+// Do sends a request and returns its complete response.
 func (f *Forwarder) Do(ctx context.Context, request Request) Answer {
 	if f.cut.Err() != nil {
 		return refused()
 	}
 	deadlineCtx, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
-	runCtx, settle := f.untilCut(deadlineCtx)
+	runCtx, settle := f.withCutOff(deadlineCtx)
 	defer settle(errSettled)
 	f.hedges.earn()
-	standing, wait := f.config.Quarantine.Admit(runCtx, request.Call, request.strikes())
+	standing, wait := f.config.Quarantine.Admit(runCtx, request.Call, request.crashLimit())
 	if standing == quarantine.Withheld {
 		return withheld(request.Call, wait)
 	}
-	run := &exchange{
+	exch := &exchange{
 		forwarder: f, request: request, started: time.Now(), standing: standing,
-		results: make(chan attempt, refusalsMost+request.MaxAttempts),
+		results: make(chan attempt, maxRejections+request.MaxAttempts),
 	}
-	answer := run.conduct(runCtx)
+	answer := exch.run(runCtx)
 	if ctx.Err() != nil && answer.Outcome != Answered {
 		answer.Outcome = Abandoned
 	}
 	return answer
 }
 
-// send makes one attempt and reads the whole answer.
-func (f *Forwarder) send(ctx context.Context, engine fleet.Engine, call engineapi.Call, strikes int) attempt {
+// send makes one attempt and reads the complete response.
+func (f *Forwarder) send(ctx context.Context, engine fleet.Engine, call engineapi.Call, crashLimit int) attempt {
 	started := time.Now()
 	reply, err := f.config.Client.Send(ctx, engine, call)
 	if err != nil {
-		took := time.Since(started)
-		return attempt{engine: engine, err: err, sentAt: started, took: took, standing: f.broke(ctx, engine, call, err, strikes, took)}
+		elapsed := time.Since(started)
+		return attempt{engine: engine, err: err, sentAt: started, duration: elapsed, standing: f.reportBroken(ctx, engine, call, err, crashLimit, elapsed)}
 	}
-	body, err := io.ReadAll(io.LimitReader(reply.Body, bodyMost+1))
+	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBodyBytes+1))
 	closeErr := reply.Body.Close()
-	if err == nil && len(body) > bodyMost {
+	if err == nil && len(body) > maxBodyBytes {
 		err = errBodyTooLarge
 	}
 	if err == nil {
@@ -199,28 +200,29 @@
 	if reply.NotRun {
 		err = nil
 	}
-	took := time.Since(started)
+	elapsed := time.Since(started)
 	return attempt{
-		engine: engine, reply: reply, body: body, err: err, sentAt: started, took: took,
-		standing: f.broke(ctx, engine, call, err, strikes, took),
+		engine: engine, reply: reply, body: body, err: err, sentAt: started, duration: elapsed,
+		standing: f.reportBroken(ctx, engine, call, err, crashLimit, elapsed),
 	}
 }
 
-// broke has the quarantine look at an engine whose answer broke off, and returns how the request stands then.
-func (f *Forwarder) broke(
-	ctx context.Context, engine fleet.Engine, call engineapi.Call, err error, strikes int, took time.Duration,
+// reportBroken reports an attempt without a complete response to the quarantine, which checks whether the engine has ended, and returns
+// the request's standing after that.
+func (f *Forwarder) reportBroken(
+	ctx context.Context, engine fleet.Engine, call engineapi.Call, err error, crashLimit int, elapsed time.Duration,
 ) quarantine.Standing {
 	switch {
 	case err == nil, errors.Is(err, engineapi.ErrNotSent), errors.Is(context.Cause(ctx), errSettled):
 		return quarantine.Clear
 	case ctx.Err() != nil:
-		f.config.Quarantine.Silent(call, engine, took)
+		f.config.Quarantine.Silent(call, engine, elapsed)
 		return quarantine.Clear
 	}
-	return f.config.Quarantine.Broke(ctx, call, engine, err, strikes)
+	return f.config.Quarantine.Broke(ctx, call, engine, err, crashLimit)
 }
 
-// Causes of requests that no attempt gave one for.
+// Causes of outcomes that don't come from the error of an attempt.
 const (
 	causeNoEngine = "no engine of the pool takes work"
 	causeSilent   = "the engine had not answered"
@@ -228,8 +230,8 @@
 	causeStopped  = "the process stops"
 )
 
-// errSettled says that an attempt is of no use any more since the request is settled.
+// errSettled is the cancellation cause of attempts that are still running when the request has its outcome.
 var errSettled = errors.New("request is settled")
 
-// errBodyTooLarge says that an answer is larger than one may be.
+// errBodyTooLarge is returned for a response body over maxBodyBytes.
 var errBodyTooLarge = errors.New("answer is too large")
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -25,17 +25,17 @@
 	work     = 20 * time.Millisecond
 )
 
-// world is a forwarder before engines a, b and c. "a" is in the forwarder's zone and so is tried first.
-type world struct {
+// testEnv is a forwarder with engines a, b and c. "a" is in the forwarder's zone and so is tried first.
+type testEnv struct {
 	engines   *memoryengine.Engines
 	directory *fleet.Directory
 	forwarder *forward.Forwarder
-	// held is the forwarder's quarantine, nil for none.
-	held *quarantine.Quarantine
+	// quarantine is the forwarder's quarantine, nil for none.
+	quarantine *quarantine.Quarantine
 }
 
-func newWorld(behaviours map[string]memoryengine.Behaviour) *world {
-	w := &world{engines: memoryengine.New(), directory: fleet.NewDirectory()}
+func newTestEnv(behaviours map[string]memoryengine.Behaviour) *testEnv {
+	env := &testEnv{engines: memoryengine.New(), directory: fleet.NewDirectory()}
 	for _, id := range []string{"a", "b", "c"} {
 		behaviour, ok := behaviours[id]
 		if !ok {
@@ -45,13 +45,13 @@
 		if id == "a" {
 			engine.Zone = "near"
 		}
-		w.engines.Add(engine, behaviour)
-		w.directory.Upsert(engine)
+		env.engines.Add(engine, behaviour)
+		env.directory.Upsert(engine)
 	}
-	w.forwarder = forward.New(forward.Config{
-		Client: w.engines, Directory: w.directory, Zone: "near", Logger: log.New(io.Discard),
+	env.forwarder = forward.New(forward.Config{
+		Client: env.engines, Directory: env.directory, Zone: "near", Logger: log.New(io.Discard),
 	})
-	return w
+	return env
 }
 
 func request(mayRepeat bool) forward.Request {
@@ -75,19 +75,19 @@
 		mayRepeat  bool
 		outcome    forward.Outcome
 		status     int
-		most       time.Duration
+		maxElapsed time.Duration
 		runsOfEach int
 	}{
-		{"a whole answer", behaviours{"a": good}, true, forward.Answered, 200, work, 1},
+		{"a complete response", behaviours{"a": good}, true, forward.Answered, 200, work, 1},
 		{"another engine when one is down", behaviours{"a": down, "b": good}, false, forward.Answered, 200, work, 1},
 		{"another engine when one is full", behaviours{"a": full, "b": good}, false, forward.Answered, 200, work, 1},
-		{"another engine after a failure, if it may repeat", behaviours{"a": failing, "b": good}, true, forward.Answered, 200, 2 * work, 1},
-		{"the failure itself, if it may not", behaviours{"a": failing, "b": good}, false, forward.Answered, 500, work, 1},
+		{"another engine after a failure, if repeatable", behaviours{"a": failing, "b": good}, true, forward.Answered, 200, 2 * work, 1},
+		{"the failure itself, if not repeatable", behaviours{"a": failing, "b": good}, false, forward.Answered, 500, work, 1},
 		{"the failure itself, if all fail", behaviours{"a": failing, "b": failing, "c": failing}, true, forward.Answered, 500, 4 * work, 1},
-		{"another engine after a foreign answer, if it may repeat", behaviours{"a": foreign, "b": good}, true, forward.Answered, 200, 2 * work, 1},
-		{"lost after a foreign answer, if it may not", behaviours{"a": foreign, "b": good}, false, forward.Lost, 0, work, 1},
-		{"a second engine beside a silent one, if it may repeat", behaviours{"a": silent, "b": good}, true, forward.Answered, 200, aim, 1},
-		{"time out on a silent one, if it may not", behaviours{"a": silent, "b": good}, false, forward.TimedOut, 0, deadline, 1},
+		{"another engine after a foreign response, if repeatable", behaviours{"a": foreign, "b": good}, true, forward.Answered, 200, 2 * work, 1},
+		{"lost after a foreign response, if not repeatable", behaviours{"a": foreign, "b": good}, false, forward.Lost, 0, work, 1},
+		{"a hedged attempt if the first engine is silent, if repeatable", behaviours{"a": silent, "b": good}, true, forward.Answered, 200, aim, 1},
+		{"timeout at a silent engine, if not repeatable", behaviours{"a": silent, "b": good}, false, forward.TimedOut, 0, deadline, 1},
 		{"not run when all are down", behaviours{"a": down, "b": down}, false, forward.NotRun, 0, aim / 2, 0},
 		{"not run when all are full", behaviours{"a": full, "b": full}, true, forward.NotRun, 0, aim, 0},
 		{"not run without engines", behaviours{}, true, forward.NotRun, 0, aim / 2, 0},
@@ -96,16 +96,16 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(test.engines)
+				env := newTestEnv(test.engines)
 				started := time.Now()
-				answer := w.forwarder.Do(t.Context(), request(test.mayRepeat))
+				answer := env.forwarder.Do(t.Context(), request(test.mayRepeat))
 				is.Equal(answer.Outcome.String(), test.outcome.String())
 				if answer.Reply != nil {
 					is.Equal(answer.Reply.Status, test.status)
 				}
-				is.True(time.Since(started) <= test.most)
+				is.True(time.Since(started) <= test.maxElapsed)
 				perEngine := make(map[string]int)
-				for _, run := range w.engines.Runs() {
+				for _, run := range env.engines.Runs() {
 					perEngine[run.Engine]++
 					is.True(run.Remaining > 0 && run.At.Add(run.Remaining).Before(started.Add(deadline+time.Millisecond)))
 				}
@@ -113,70 +113,70 @@
 					is.True(runs <= max(1, test.runsOfEach))
 				}
 				if answer.Outcome == forward.NotRun {
-					is.Equal(len(w.engines.Runs()), 0)
+					is.Equal(len(env.engines.Runs()), 0)
 					is.True(answer.RetryAfter > 0)
 				}
 				synctest.Wait()
-				is.Equal(w.engines.Running("r"), 0)
+				is.Equal(env.engines.Running("r"), 0)
 			})
 		})
 	}
 }
 
-// TestAttemptsAreBounded checks that a request is never sent to more engines than its route allows.
+// TestAttemptsAreBounded checks that a request makes no more attempts than MaxAttempts.
 func TestAttemptsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		failing := memoryengine.Behaviour{Work: work, Failing: true}
-		w := newWorld(map[string]memoryengine.Behaviour{"a": failing, "b": failing})
-		bounded := request(true)
-		bounded.MaxAttempts = 4
-		bounded.Patience = deadline
-		answer := w.forwarder.Do(t.Context(), bounded)
+		env := newTestEnv(map[string]memoryengine.Behaviour{"a": failing, "b": failing})
+		limited := request(true)
+		limited.MaxAttempts = 4
+		limited.Patience = deadline
+		answer := env.forwarder.Do(t.Context(), limited)
 		is.Equal(answer.Failures, 4)
-		is.Equal(len(w.engines.Runs()), 4)
+		is.Equal(len(env.engines.Runs()), 4)
 	})
 }
 
-// TestACallerWhoLeavesStopsTheWork checks that nothing works on for a caller who has gone.
-func TestACallerWhoLeavesStopsTheWork(t *testing.T) {
+// TestCallerCancellationStopsWork checks that no engine keeps running a request after its caller has canceled it.
+func TestCallerCancellationStopsWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(map[string]memoryengine.Behaviour{"a": {Work: time.Hour}})
-		ctx, leave := context.WithCancel(t.Context())
-		time.AfterFunc(50*time.Millisecond, leave)
-		answer := w.forwarder.Do(ctx, request(true))
+		env := newTestEnv(map[string]memoryengine.Behaviour{"a": {Work: time.Hour}})
+		ctx, cancel := context.WithCancel(t.Context())
+		time.AfterFunc(50*time.Millisecond, cancel)
+		answer := env.forwarder.Do(ctx, request(true))
 		is.Equal(answer.Outcome, forward.Abandoned)
 		synctest.Wait()
-		is.Equal(w.engines.Running("r"), 0)
+		is.Equal(env.engines.Running("r"), 0)
 	})
 }
 
-// TestHedgesAreBounded checks that a pool that is slow as a whole does not get twice the load.
+// TestHedgesAreBounded checks that hedging does not double the load of a pool whose engines are all slow.
 func TestHedgesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		// Two engines have become slow; the third, known to be quick, is full. So every request is worth a hedge.
+		// Two engines are slow. The third is full, but its recorded latency is low, so every request reaches the hedge delay.
 		slow := memoryengine.Behaviour{Work: aim}
-		w := newWorld(map[string]memoryengine.Behaviour{"a": slow, "b": slow, "c": {Full: true}})
-		w.directory.Succeeded("c", time.Millisecond)
+		env := newTestEnv(map[string]memoryengine.Behaviour{"a": slow, "b": slow, "c": {Full: true}})
+		env.directory.Succeeded("c", time.Millisecond)
 		const requests = 100
 		for range requests {
-			is.Equal(w.forwarder.Do(t.Context(), request(true)).Outcome, forward.Answered)
+			is.Equal(env.forwarder.Do(t.Context(), request(true)).Outcome, forward.Answered)
 		}
-		is.True(len(w.engines.Runs()) > requests)
-		is.True(len(w.engines.Runs()) <= requests+requests/8+6)
+		is.True(len(env.engines.Runs()) > requests)
+		is.True(len(env.engines.Runs()) <= requests+requests/8+6)
 	})
 }
 
-// receiver keeps what a stream brought.
+// receiver records the events of a stream.
 type receiver struct {
-	begun  int
+	begins int
 	events []string
 }
 
 func (r *receiver) Begin(*engineapi.Reply) error {
-	r.begun++
+	r.begins++
 	return nil
 }
 
@@ -186,9 +186,9 @@
 }
 
 func streamRequest(resumable bool, events int) forward.StreamRequest {
-	plain := request(resumable)
-	plain.Call.Header = http.Header{memoryengine.EventsHeader: {strconv.Itoa(events)}}
-	return forward.StreamRequest{Request: plain, Resumable: resumable, Gap: 300 * time.Millisecond}
+	base := request(resumable)
+	base.Call.Header = http.Header{memoryengine.EventsHeader: {strconv.Itoa(events)}}
+	return forward.StreamRequest{Request: base, Resumable: resumable, Gap: 300 * time.Millisecond}
 }
 
 func TestStream(t *testing.T) {
@@ -205,25 +205,25 @@
 		outcome   forward.Outcome
 		events    int
 	}{
-		{"whole", behaviours{"a": good}, false, forward.Answered, events},
+		{"complete", behaviours{"a": good}, false, forward.Answered, events},
 		{"resumed after a break", behaviours{"a": breaking, "b": good}, true, forward.Answered, events},
-		{"cut short after a break, if it may not be resumed", behaviours{"a": breaking, "b": good}, false, forward.Lost, 4},
+		{"lost after a break, if not resumable", behaviours{"a": breaking, "b": good}, false, forward.Lost, 4},
 		{"another engine when one is full", behaviours{"a": full, "b": good}, false, forward.Answered, events},
 		{"not run when all are full", behaviours{"a": full}, false, forward.NotRun, 0},
-		{"out of time on a silent one", behaviours{"a": silent}, false, forward.TimedOut, 0},
+		{"timeout at a silent engine", behaviours{"a": silent}, false, forward.TimedOut, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(test.engines)
-				got := new(receiver)
-				answer := w.forwarder.Stream(t.Context(), streamRequest(test.resumable, events), got)
+				env := newTestEnv(test.engines)
+				received := new(receiver)
+				answer := env.forwarder.Stream(t.Context(), streamRequest(test.resumable, events), received)
 				is.Equal(answer.Outcome.String(), test.outcome.String())
-				is.Equal(fmt.Sprint(got.events), fmt.Sprint(memoryengine.Text("r", events)[:test.events]))
-				is.True(got.begun <= 1)
+				is.Equal(fmt.Sprint(received.events), fmt.Sprint(memoryengine.Text("r", events)[:test.events]))
+				is.True(received.begins <= 1)
 				synctest.Wait()
-				is.Equal(w.engines.Running("r"), 0)
+				is.Equal(env.engines.Running("r"), 0)
 			})
 		})
 	}
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -18,33 +18,33 @@
 	"github.com/matryer/is"
 )
 
-// crashing is how an engine behaves that crashes under requests of the body "crash".
-func crashing() memoryengine.Behaviour {
+// crashingBehaviour returns the behaviour of an engine that crashes under requests with the body "crash".
+func crashingBehaviour() memoryengine.Behaviour {
 	return memoryengine.Behaviour{Work: work, Pace: work, Crashes: func(call engineapi.Call) bool { return string(call.Body) == "crash" }}
 }
 
-// quarantinedWorld is a world of three engines that a request crashes, whose forwarder has a quarantine.
-func quarantinedWorld(t *testing.T) *world {
-	w := newWorld(map[string]memoryengine.Behaviour{"a": crashing(), "b": crashing(), "c": crashing()})
+// newQuarantineEnv returns a testEnv of three engines with crashingBehaviour and a forwarder with a quarantine.
+func newQuarantineEnv(t *testing.T) *testEnv {
+	env := newTestEnv(map[string]memoryengine.Behaviour{"a": crashingBehaviour(), "b": crashingBehaviour(), "c": crashingBehaviour()})
 	logger := log.New(io.Discard)
 	store := memorylog.New(memorylog.Config{Partitions: 1, Delay: 3 * time.Millisecond}).For("node")
-	held := quarantine.New(quarantine.Config{Log: store, Prober: w.engines, Directory: w.directory, Machine: "node", Logger: logger})
-	follower := follow.New(follow.Config{Log: store, Partition: keyedlog.Crashes, Applier: held, Wait: time.Second, Logger: logger})
-	held.Attach(follower)
+	guard := quarantine.New(quarantine.Config{Log: store, Prober: env.engines, Directory: env.directory, Machine: "node", Logger: logger})
+	follower := follow.New(follow.Config{Log: store, Partition: keyedlog.Crashes, Applier: guard, Wait: time.Second, Logger: logger})
+	guard.Attach(follower)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{}, 2)
 	go func() { follower.Run(ctx); done <- struct{}{} }()
-	go func() { held.Run(ctx); done <- struct{}{} }()
+	go func() { guard.Run(ctx); done <- struct{}{} }()
 	t.Cleanup(func() {
 		cancel()
 		<-done
 		<-done
 	})
-	w.held = held
-	w.forwarder = forward.New(forward.Config{
-		Client: w.engines, Directory: w.directory, Quarantine: held, Zone: "near", Logger: logger,
+	env.quarantine = guard
+	env.forwarder = forward.New(forward.Config{
+		Client: env.engines, Directory: env.directory, Quarantine: guard, Zone: "near", Logger: logger,
 	})
-	return w
+	return env
 }
 
 func crashRequest(mayRepeat bool) forward.Request {
@@ -53,136 +53,138 @@
 	return crash
 }
 
-// TestARequestThatCrashesEnginesIsWithheld checks that a request ends after two engines have, whatever its route allows, that the next
-// of its like is refused at once as not run, and that others go on.
-func TestARequestThatCrashesEnginesIsWithheld(t *testing.T) {
+// TestCrashingRequestIsWithheld checks that a request ends after two engines have crashed under it, although MaxAttempts allows more, that
+// the next request of the same content is withheld without delay, and that requests of other content are still answered.
+func TestCrashingRequestIsWithheld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := quarantinedWorld(t)
-		answer := w.forwarder.Do(t.Context(), crashRequest(true))
+		env := newQuarantineEnv(t)
+		answer := env.forwarder.Do(t.Context(), crashRequest(true))
 		is.Equal(answer.Outcome, forward.Lost)
 		is.Equal(answer.Attempts, 2)
-		is.Equal(len(w.engines.Runs()), 2)
+		is.Equal(len(env.engines.Runs()), 2)
 		started := time.Now()
-		answer = w.forwarder.Do(t.Context(), crashRequest(true))
+		answer = env.forwarder.Do(t.Context(), crashRequest(true))
 		is.Equal(answer.Outcome, forward.Withheld)
 		is.True(answer.RetryAfter > 0)
 		is.Equal(answer.Content, quarantine.ContentOf(crashRequest(true).Call).String())
 		is.Equal(time.Since(started), time.Duration(0))
-		is.Equal(len(w.engines.Runs()), 2)
-		is.Equal(w.forwarder.Do(t.Context(), request(true)).Outcome, forward.Answered)
+		is.Equal(len(env.engines.Runs()), 2)
+		is.Equal(env.forwarder.Do(t.Context(), request(true)).Outcome, forward.Answered)
 	})
 }
 
-// TestARequestThatMayNotRepeatIsWithheldToo checks that ends are counted over attempts that may not be repeated.
-func TestARequestThatMayNotRepeatIsWithheldToo(t *testing.T) {
+// TestCrashingUnrepeatableRequestIsWithheld checks that crashes are counted over several requests of one content that make one attempt each.
+func TestCrashingUnrepeatableRequestIsWithheld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := quarantinedWorld(t)
+		env := newQuarantineEnv(t)
 		for range 2 {
-			is.Equal(w.forwarder.Do(t.Context(), crashRequest(false)).Outcome, forward.Lost)
+			is.Equal(env.forwarder.Do(t.Context(), crashRequest(false)).Outcome, forward.Lost)
 			time.Sleep(time.Second)
 		}
-		is.Equal(w.forwarder.Do(t.Context(), crashRequest(false)).Outcome, forward.Withheld)
-		is.Equal(len(w.engines.Runs()), 2)
+		is.Equal(env.forwarder.Do(t.Context(), crashRequest(false)).Outcome, forward.Withheld)
+		is.Equal(len(env.engines.Runs()), 2)
 	})
 }
 
-// TestAStreamThatCrashesEnginesIsWithheld checks the same of a stream that may be resumed.
-func TestAStreamThatCrashesEnginesIsWithheld(t *testing.T) {
+// TestCrashingStreamIsWithheld checks that a resumable stream ends after two engines have crashed under it and that the next stream of the
+// same content is withheld.
+func TestCrashingStreamIsWithheld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := quarantinedWorld(t)
+		env := newQuarantineEnv(t)
 		stream := streamRequest(true, 10)
 		stream.Call.Body = []byte("crash")
-		is.Equal(w.forwarder.Stream(t.Context(), stream, new(receiver)).Outcome, forward.Lost)
-		is.Equal(len(w.engines.Runs()), 2)
-		is.Equal(w.forwarder.Stream(t.Context(), stream, new(receiver)).Outcome, forward.Withheld)
-		is.Equal(len(w.engines.Runs()), 2)
+		is.Equal(env.forwarder.Stream(t.Context(), stream, new(receiver)).Outcome, forward.Lost)
+		is.Equal(len(env.engines.Runs()), 2)
+		is.Equal(env.forwarder.Stream(t.Context(), stream, new(receiver)).Outcome, forward.Withheld)
+		is.Equal(len(env.engines.Runs()), 2)
 	})
 }
 
-// TestASuspectIsNotHedged checks that a request under which an engine ended goes to one engine at a time, however slow that is.
-func TestASuspectIsNotHedged(t *testing.T) {
+// TestSuspectRequestIsNotHedged checks that a request under which an engine has crashed runs on one engine at a time, however slow that is.
+func TestSuspectRequestIsNotHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := quarantinedWorld(t)
-		w.forwarder.Do(t.Context(), crashRequest(false))
+		env := newQuarantineEnv(t)
+		env.forwarder.Do(t.Context(), crashRequest(false))
 		time.Sleep(time.Second)
 		slow := memoryengine.Behaviour{Work: 2 * aim}
-		w.engines.Behave("b", slow)
-		w.engines.Behave("c", slow)
-		is.Equal(w.forwarder.Do(t.Context(), crashRequest(true)).Outcome, forward.Answered)
-		is.Equal(len(w.engines.Runs()), 2)
-		// The answer has cleared it: its like is hedged again.
-		w.directory.Succeeded("b", time.Millisecond)
-		w.directory.Succeeded("c", time.Millisecond)
-		w.forwarder.Do(t.Context(), crashRequest(true))
-		is.Equal(len(w.engines.Runs()), 4)
+		env.engines.Behave("b", slow)
+		env.engines.Behave("c", slow)
+		is.Equal(env.forwarder.Do(t.Context(), crashRequest(true)).Outcome, forward.Answered)
+		is.Equal(len(env.engines.Runs()), 2)
+		// The answer has cleared the content, so requests of it are hedged again.
+		env.directory.Succeeded("b", time.Millisecond)
+		env.directory.Succeeded("c", time.Millisecond)
+		env.forwarder.Do(t.Context(), crashRequest(true))
+		is.Equal(len(env.engines.Runs()), 4)
 	})
 }
 
-// TestOneEndIsRepeated checks that a request whose engine ends by chance is answered by another.
-func TestOneEndIsRepeated(t *testing.T) {
+// TestRequestIsRepeatedAfterOneCrash checks that a request is answered by a second engine after the first has crashed.
+func TestRequestIsRepeatedAfterOneCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := quarantinedWorld(t)
-		w.engines.Behave("b", memoryengine.Behaviour{Work: work})
-		w.engines.Behave("c", memoryengine.Behaviour{Work: work})
-		is.Equal(w.forwarder.Do(t.Context(), crashRequest(true)).Outcome, forward.Answered)
+		env := newQuarantineEnv(t)
+		env.engines.Behave("b", memoryengine.Behaviour{Work: work})
+		env.engines.Behave("c", memoryengine.Behaviour{Work: work})
+		is.Equal(env.forwarder.Do(t.Context(), crashRequest(true)).Outcome, forward.Answered)
 	})
 }
 
-// TestStrikesOfARequest checks that a request may be given more ends than usual.
-func TestStrikesOfARequest(t *testing.T) {
+// TestCrashLimitOfRequest checks that a request can set a higher crash limit than the default.
+func TestCrashLimitOfRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := quarantinedWorld(t)
-		patient := crashRequest(true)
-		patient.Strikes = 3
-		is.Equal(w.forwarder.Do(t.Context(), patient).Attempts, 3)
-		is.Equal(w.forwarder.Do(t.Context(), patient).Outcome, forward.Withheld)
+		env := newQuarantineEnv(t)
+		limited := crashRequest(true)
+		limited.Strikes = 3
+		is.Equal(env.forwarder.Do(t.Context(), limited).Attempts, 3)
+		is.Equal(env.forwarder.Do(t.Context(), limited).Outcome, forward.Withheld)
 	})
 }
 
-// TestARequestThatHangsEnginesIsWithheld has requests time out at engines that are replaced afterwards.
-func TestARequestThatHangsEnginesIsWithheld(t *testing.T) {
+// TestHangingRequestIsWithheld checks that a request is withheld after it has timed out at two engines that were replaced afterwards.
+func TestHangingRequestIsWithheld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := quarantinedWorld(t)
+		env := newQuarantineEnv(t)
 		for _, id := range []string{"a", "b", "c"} {
-			w.engines.Behave(id, memoryengine.Behaviour{Silent: true})
+			env.engines.Behave(id, memoryengine.Behaviour{Silent: true})
 		}
 		for range 2 {
-			answer := w.forwarder.Do(t.Context(), crashRequest(false))
+			answer := env.forwarder.Do(t.Context(), crashRequest(false))
 			is.Equal(answer.Outcome, forward.TimedOut)
 			synctest.Wait()
-			engine, _ := w.directory.Engine(answer.Tried[0])
-			w.directory.Remove(engine.ID)
+			engine, _ := env.directory.Engine(answer.Tried[0])
+			env.directory.Remove(engine.ID)
 			engine.ID = "next-" + engine.ID
-			w.directory.Upsert(engine)
-			w.engines.Add(engine, memoryengine.Behaviour{Work: work})
+			env.directory.Upsert(engine)
+			env.engines.Add(engine, memoryengine.Behaviour{Work: work})
 			time.Sleep(time.Second)
-			w.directory.Remove(engine.ID)
+			env.directory.Remove(engine.ID)
 		}
-		is.Equal(w.forwarder.Do(t.Context(), crashRequest(false)).Outcome, forward.Withheld)
+		is.Equal(env.forwarder.Do(t.Context(), crashRequest(false)).Outcome, forward.Withheld)
 	})
 }
 
-// TestALoserOfARaceIsNotSilent checks that an engine which was slower than another at the same request does not count for it.
-func TestALoserOfARaceIsNotSilent(t *testing.T) {
+// TestSlowerHedgedAttemptIsNotSilent checks that an engine whose attempt was canceled because a hedged attempt was answered first is not
+// counted as silent, even if another engine replaces it.
+func TestSlowerHedgedAttemptIsNotSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := quarantinedWorld(t)
-		w.engines.Behave("a", memoryengine.Behaviour{Silent: true})
-		w.engines.Behave("b", memoryengine.Behaviour{Work: work})
-		w.engines.Behave("c", memoryengine.Behaviour{Work: work})
-		is.Equal(w.forwarder.Do(t.Context(), crashRequest(true)).Outcome, forward.Answered)
-		engine, _ := w.directory.Engine("a")
+		env := newQuarantineEnv(t)
+		env.engines.Behave("a", memoryengine.Behaviour{Silent: true})
+		env.engines.Behave("b", memoryengine.Behaviour{Work: work})
+		env.engines.Behave("c", memoryengine.Behaviour{Work: work})
+		is.Equal(env.forwarder.Do(t.Context(), crashRequest(true)).Outcome, forward.Answered)
+		engine, _ := env.directory.Engine("a")
 		engine.ID = "next-a"
-		w.directory.Upsert(engine)
+		env.directory.Upsert(engine)
 		time.Sleep(time.Second)
-		is.Equal(len(w.engines.Runs()), 2)
-		is.Equal(w.held.Contents(), 0)
+		is.Equal(len(env.engines.Runs()), 2)
+		is.Equal(env.quarantine.Contents(), 0)
 	})
 }
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -11,45 +11,47 @@
 	"github.com/hillfork/hillfork/internal/quarantine"
 )
 
-// StreamRequest is a request whose answer is passed on event by event.
+// StreamRequest is a request whose response is passed on event by event.
 type StreamRequest struct {
 	Request
-	// Model bounds the engines to those that serve it, empty for any.
+	// Model limits the engines to those that serve it, empty for any.
 	Model string
-	// Resumable says that another engine may go on after a break.
+	// Resumable allows another engine to continue a stream that broke off.
 	Resumable bool
-	// Gap is how long an engine may be silent between events of a resumable stream.
+	// Gap is the maximum time between events of a resumable stream; after it another engine continues. 0 means no limit.
 	Gap time.Duration
 }
 
-// StreamReceiver takes a stream. Begin is called once, before the first event.
+// StreamReceiver receives a stream. Begin is called once, before the first event.
 type StreamReceiver interface {
 	Begin(reply *engineapi.Reply) error
 	Event(event engineapi.Event) error
 }
 
-// Stream carries a request whose answer is passed on event by event. The outcome is Answered for a stream that came to its
-// end, and for a failure that an engine answered; Lost for a stream that was cut short after it began.
+// Stream sends a request and passes the events of its response to receiver. The outcome is Answered for a complete stream.
+// If no attempt completes the stream, it is Lost or TimedOut where an attempt may have run, else NotRun, and Abandoned if the caller
+// or the receiver ended the request.
 func (f *Forwarder) Stream(ctx context.Context, request StreamRequest, receiver StreamReceiver) Answer {
 	if f.cut.Err() != nil {
 		return refused()
 	}
 	deadlineCtx, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
-	runCtx, settle := f.untilCut(deadlineCtx)
+	runCtx, settle := f.withCutOff(deadlineCtx)
 	defer settle(errSettled)
-	standing, wait := f.config.Quarantine.Admit(runCtx, request.Call, request.strikes())
+	standing, wait := f.config.Quarantine.Admit(runCtx, request.Call, request.crashLimit())
 	if standing == quarantine.Withheld {
 		return withheld(request.Call, wait)
 	}
-	run := &streamExchange{forwarder: f, request: request, receiver: receiver, last: request.Call.ResumeAfter, started: time.Now()}
-	answer := run.conduct(runCtx)
+	exch := &streamExchange{forwarder: f, request: request, receiver: receiver, lastEventID: request.Call.ResumeAfter, started: time.Now()}
+	answer := exch.run(runCtx)
 	if ctx.Err() != nil && answer.Outcome != Answered {
 		answer.Outcome = Abandoned
 	}
 	return answer
 }
 
+// streamExchange is a streamed request in progress. It has one attempt at a time.
 type streamExchange struct {
 	forwarder  *Forwarder
 	request    StreamRequest
@@ -57,34 +59,35 @@
 	started    time.Time
 	tried      []string
 	sent       int
-	refusals   int
+	rejections int
 	mayHaveRun bool
-	// withheld says that too many engines have ended under the request.
+	// withheld is set once the crash limit of the request is reached.
 	withheld bool
-	begun    bool
-	// last is the number of the last event passed on.
-	last   int64
-	status int
-	sentAt time.Time
-	paced  time.Time
-	engine string
-	// offered holds every engine that the request was offered to; cause is how the last run ended, if not whole.
+	// headSent is set once the Begin method of the receiver was called.
+	headSent bool
+	// lastEventID is the ID of the last event passed on.
+	lastEventID int64
+	status      int
+	sentAt      time.Time
+	lastEventAt time.Time
+	engineID    string
+	// offered holds the engine of every attempt; cause is how the last attempt ended, empty if its stream was complete.
 	offered []string
 	cause   string
 }
 
-func (s *streamExchange) conduct(ctx context.Context) Answer {
+func (s *streamExchange) run(ctx context.Context) Answer {
 	for s.mayStart() {
 		engine, ok := s.acquire()
 		if !ok {
-			if !s.awaitRoom(ctx) {
+			if !s.awaitSlot(ctx) {
 				break
 			}
 			continue
 		}
 		result := s.runOn(ctx, engine)
 		s.forwarder.config.Directory.Release(engine.ID)
-		if answer, done := s.take(engine, result); done {
+		if answer, done := s.handleResult(engine, result); done {
 			return answer
 		}
 	}
@@ -92,7 +95,7 @@
 }
 
 func (s *streamExchange) mayStart() bool {
-	if s.sent >= s.request.MaxAttempts || s.refusals >= refusalsMost || s.withheld {
+	if s.sent >= s.request.MaxAttempts || s.rejections >= maxRejections || s.withheld {
 		return false
 	}
 	return !s.mayHaveRun || s.request.Resumable
@@ -105,12 +108,12 @@
 	})
 }
 
-func (s *streamExchange) awaitRoom(ctx context.Context) bool {
-	if ctx.Err() != nil || (time.Since(s.started) >= s.request.Patience && !s.begun) {
+func (s *streamExchange) awaitSlot(ctx context.Context) bool {
+	if ctx.Err() != nil || (time.Since(s.started) >= s.request.Patience && !s.headSent) {
 		return false
 	}
 	s.tried = nil
-	timer := time.NewTimer(roomPoll)
+	timer := time.NewTimer(slotPollInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -124,10 +127,10 @@
 	s.tried = append(s.tried, engine.ID)
 	s.offered = append(s.offered, engine.ID)
 	s.sent++
-	s.engine = engine.ID
-	s.paced = time.Time{}
+	s.engineID = engine.ID
+	s.lastEventAt = time.Time{}
 	call := s.request.Call
-	call.ResumeAfter = s.last
+	call.ResumeAfter = s.lastEventID
 	call.Remaining = time.Until(s.request.Deadline)
 	limits := eventrun.Limits{First: call.Remaining + time.Second, Gap: call.Remaining + time.Second}
 	if s.request.Resumable && s.request.Gap > 0 {
@@ -136,7 +139,7 @@
 	s.sentAt = time.Now()
 	result := eventrun.Run(ctx, s.forwarder.config.Client, engine, call, limits, s)
 	if result.Ending == eventrun.EndedBroken || result.Ending == eventrun.EndedSilent {
-		standing := s.forwarder.config.Quarantine.Broke(ctx, call, engine, result.Err, s.request.strikes())
+		standing := s.forwarder.config.Quarantine.Broke(ctx, call, engine, result.Err, s.request.crashLimit())
 		s.withheld = standing == quarantine.Withheld
 	}
 	if result.Ending == eventrun.EndedSilent {
@@ -145,30 +148,30 @@
 	return result
 }
 
-// Head begins the answer with the head of the first engine.
+// Head passes on the head of the first engine's response and ignores those of later attempts.
 func (s *streamExchange) Head(reply *engineapi.Reply) error {
 	s.status = reply.Status
-	if s.begun {
+	if s.headSent {
 		return nil
 	}
-	s.begun = true
+	s.headSent = true
 	return s.receiver.Begin(reply)
 }
 
-// Event passes an event on.
+// Event passes an event on and records the pace of the engine.
 func (s *streamExchange) Event(event engineapi.Event) error {
 	now := time.Now()
-	if s.paced.IsZero() {
-		s.forwarder.config.Directory.Answered(s.engine, s.sentAt)
+	if s.lastEventAt.IsZero() {
+		s.forwarder.config.Directory.Answered(s.engineID, s.sentAt)
 	} else {
-		s.forwarder.config.Directory.Paced(s.engine, now.Sub(s.paced))
+		s.forwarder.config.Directory.Paced(s.engineID, now.Sub(s.lastEventAt))
 	}
-	s.paced = now
-	s.last = event.ID
+	s.lastEventAt = now
+	s.lastEventID = event.ID
 	return s.receiver.Event(event)
 }
 
-func (s *streamExchange) take(engine fleet.Engine, result eventrun.Result) (Answer, bool) {
+func (s *streamExchange) handleResult(engine fleet.Engine, result eventrun.Result) (Answer, bool) {
 	directory := s.forwarder.config.Directory
 	s.cause = ""
 	if result.Ending != eventrun.EndedWhole {
@@ -181,7 +184,7 @@
 		return s.answer(Answered, engine), true
 	case eventrun.EndedNotRun:
 		s.sent--
-		s.refusals++
+		s.rejections++
 		if result.Err != nil {
 			directory.Failed(engine.ID, policy.FailureToConnect, result.Cause())
 		} else {
--- a/internal/ingress/bodies.go
+++ b/internal/ingress/bodies.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// bodiesShare is the part of the process's memory that large bodies of callers may take together; an answer and a copy
+	// bodyMemoryShare is the part of the process's memory that large bodies of callers may take together; an answer and a copy
 	// for the engine come on top of each.
-	bodiesShare = 0.15
+	bodyMemoryShare = 0.15
 	// SmallBody is the size in bytes up to which a body is not counted: descriptors bound how many there are.
 	SmallBody = 64 << 10
-	// bodiesPatience is how long a large body waits for others to go.
-	bodiesPatience = 500 * time.Millisecond
+	// bodyWaitTimeout is how long a large body waits for others to go.
+	bodyWaitTimeout = 500 * time.Millisecond
 )
 
-// bodies bounds the memory that large bodies take.
-type bodies struct {
-	room  *semaphore.Weighted
+// bodyBudget bounds the memory that large bodyBudget take.
+type bodyBudget struct {
+	free  *semaphore.Weighted
 	total int64
 }
 
-func newBodies(memory int64) *bodies {
-	total := max(SmallBody, int64(bodiesShare*float64(memory)))
-	return &bodies{room: semaphore.NewWeighted(total), total: total}
+func newBodyBudget(memory int64) *bodyBudget {
+	total := max(SmallBody, int64(bodyMemoryShare*float64(memory)))
+	return &bodyBudget{free: semaphore.NewWeighted(total), total: total}
 }
 
 // ReserveBody reserves memory for a body of a size in bytes, -1 if it is over SmallBody and its size is not known. It returns false
@@ -38,11 +38,11 @@
 		size = max(limit, SmallBody)
 	}
 	size = min(size, i.bodies.total)
-	ctx, cancel := context.WithTimeout(ctx, bodiesPatience)
+	ctx, cancel := context.WithTimeout(ctx, bodyWaitTimeout)
 	defer cancel()
-	if i.bodies.room.Acquire(ctx, size) != nil {
+	if i.bodies.free.Acquire(ctx, size) != nil {
 		i.config.Logger.Warn("large body refused, others take the memory", "bytes", size)
 		return nil, false
 	}
-	return func() { i.bodies.room.Release(size) }, true
+	return func() { i.bodies.free.Release(size) }, true
 }
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -44,15 +44,15 @@
 // Ingress meets requests. It is safe for concurrent use.
 type Ingress struct {
 	config Config
-	bodies *bodies
+	bodies *bodyBudget
 	unread *unread.Budget
 	// stop is nil until the process is to stop.
-	stop atomic.Pointer[stop]
+	stop atomic.Pointer[plannedStop]
 }
 
 // New returns an ingress.
 func New(config Config) *Ingress {
-	return &Ingress{config: config, bodies: newBodies(config.MemoryBytes), unread: unread.New(config.MemoryBytes, config.Logger)}
+	return &Ingress{config: config, bodies: newBodyBudget(config.MemoryBytes), unread: unread.New(config.MemoryBytes, config.Logger)}
 }
 
 // Unread returns the budget of what is held in answers that callers have not read.
@@ -147,19 +147,19 @@
 }
 
 const (
-	// patienceShare is the part of the aim for which a request waits for an engine with room before it is refused.
-	patienceShare = 0.25
-	// patienceUnaimed bounds the wait on routes without an aim.
-	patienceUnaimed = 50 * time.Millisecond
-	// holdUnbounded bounds a request that names no deadline on a route without a timeout.
-	holdUnbounded = 60 * time.Second
-	// gapAims is how many aims an engine may be silent within a stream before another goes on.
-	gapAims = 2
+	// slotWaitShare is the part of the aim for which a request waits for an engine with room before it is refused.
+	slotWaitShare = 0.25
+	// slotWaitWithoutTarget bounds the wait on routes without an aim.
+	slotWaitWithoutTarget = 50 * time.Millisecond
+	// defaultRequestTimeout bounds a request that names no deadline on a route without a timeout.
+	defaultRequestTimeout = 60 * time.Second
+	// gapTargets is how many aims an engine may be silent within a stream before another goes on.
+	gapTargets = 2
 )
 
-// hold returns how long a request of a route may be held. budget is the time that the caller waits, 0 if it did not say.
-func hold(route catalog.Route, budget time.Duration) time.Duration {
-	bound := holdUnbounded
+// requestTimeout returns how long a request of a route may be held. budget is the time that the caller waits, 0 if it did not say.
+func requestTimeout(route catalog.Route, budget time.Duration) time.Duration {
+	bound := defaultRequestTimeout
 	if route.Timeout > 0 {
 		bound = route.Timeout
 	}
@@ -169,15 +169,15 @@
 	return bound
 }
 
-// request makes the forwarder's request. budget is the time that the caller waits, 0 if it did not say.
-func (i *Ingress) request(route catalog.Route, call engineapi.Call, received time.Time, budget time.Duration) forward.Request {
-	patience := patienceUnaimed
+// newRequest makes the forwarder's newRequest. budget is the time that the caller waits, 0 if it did not say.
+func (i *Ingress) newRequest(route catalog.Route, call engineapi.Call, received time.Time, budget time.Duration) forward.Request {
+	patience := slotWaitWithoutTarget
 	if route.Aim > 0 {
-		patience = time.Duration(patienceShare * float64(route.Aim))
+		patience = time.Duration(slotWaitShare * float64(route.Aim))
 	}
 	call.Priority = engineapi.NoPriority
 	return forward.Request{
-		Pool: i.config.Splitter.Pick(route), Regions: i.config.Catalog.Regions(route, call.Tenant), Call: call, Deadline: received.Add(hold(route, budget)), Patience: patience, Aim: route.Aim,
+		Pool: i.config.Splitter.Pick(route), Regions: i.config.Catalog.Regions(route, call.Tenant), Call: call, Deadline: received.Add(requestTimeout(route, budget)), Patience: patience, Aim: route.Aim,
 		MaxAttempts: route.MaxAttempts, MayRepeat: route.MayRepeat(),
 	}
 }
@@ -186,10 +186,10 @@
 func (i *Ingress) Carry(
 	ctx context.Context, route catalog.Route, call engineapi.Call, received time.Time, budget time.Duration,
 ) forward.Answer {
-	request := i.request(route, call, received, budget)
+	request := i.newRequest(route, call, received, budget)
 	answer := i.config.Forwarder.Do(ctx, request)
 	i.meter(call.Tenant, answer.RanAt)
-	i.note(route, request, answer, received)
+	i.reportSettled(route, request, answer, received)
 	return answer
 }
 
@@ -198,12 +198,12 @@
 	ctx context.Context, route catalog.Route, model string, call engineapi.Call, received time.Time, budget time.Duration,
 	receiver forward.StreamReceiver,
 ) forward.Answer {
-	request := i.request(route, call, received, budget)
+	request := i.newRequest(route, call, received, budget)
 	request.Call.Priority = min(9, i.config.Catalog.Priority(route, call.Tenant))
 	answer := i.config.Forwarder.Stream(ctx, forward.StreamRequest{
-		Request: request, Model: model, Resumable: route.Resumable, Gap: gapAims * route.Aim,
-	}, &meteredReceiver{StreamReceiver: receiver, ran: func() { i.meter(call.Tenant, time.Now()) }})
-	i.note(route, request, answer, received)
+		Request: request, Model: model, Resumable: route.Resumable, Gap: gapTargets * route.Aim,
+	}, &meteredReceiver{StreamReceiver: receiver, onFirstEvent: func() { i.meter(call.Tenant, time.Now()) }})
+	i.reportSettled(route, request, answer, received)
 	return answer
 }
 
@@ -217,17 +217,17 @@
 // meteredReceiver tells when the first event of a stream has come: with it a request begins to run.
 type meteredReceiver struct {
 	forward.StreamReceiver
-	ran  func()
-	once sync.Once
+	onFirstEvent func()
+	once         sync.Once
 }
 
 // Event passes an event on.
 func (m *meteredReceiver) Event(event engineapi.Event) error {
-	m.once.Do(m.ran)
+	m.once.Do(m.onFirstEvent)
 	return m.StreamReceiver.Event(event)
 }
 
-func (i *Ingress) note(route catalog.Route, request forward.Request, answer forward.Answer, received time.Time) {
+func (i *Ingress) reportSettled(route catalog.Route, request forward.Request, answer forward.Answer, received time.Time) {
 	took := time.Since(received)
 	if i.config.OnRequest != nil {
 		i.config.OnRequest(answer.Outcome, took)
--- a/internal/ingress/stop.go
+++ b/internal/ingress/stop.go
@@ -7,20 +7,20 @@
 	"github.com/hillfork/hillfork/internal/catalog"
 )
 
-// lateAfter is how long after the order to stop requests are taken whatever time they may need. Callers are still sent here for two to
+// lateRequestDelay is how long after the order to stop requests are taken whatever time they may need. Callers are still sent here for two to
 // three seconds, since the platform asks once a second whether a process is ready and needs two misses; most requests are done long before
 // the time they may take. Who comes later holds a connection from before, and finds another process at once.
-const lateAfter = 2500 * time.Millisecond
+const lateRequestDelay = 2500 * time.Millisecond
 
-// stop is a planned stop under way.
-type stop struct {
-	ordered time.Time
-	cut     time.Time
+// plannedStop is a planned plannedStop under way.
+type plannedStop struct {
+	requestedAt time.Time
+	cutOffAt    time.Time
 }
 
 // Stop says that the process was ordered to stop now, and that what is under way at a moment is cut off then.
 func (i *Ingress) Stop(cut time.Time) {
-	i.stop.Store(&stop{ordered: time.Now(), cut: cut})
+	i.stop.Store(&plannedStop{requestedAt: time.Now(), cutOffAt: cut})
 }
 
 // Stopping tells whether the process was ordered to stop.
@@ -37,15 +37,15 @@
 // it has not run, and other processes have that time.
 func (i *Ingress) Outlasts(requestID string, route catalog.Route, received time.Time, budget time.Duration) bool {
 	stopping := i.stop.Load()
-	if stopping == nil || received.Before(stopping.ordered.Add(lateAfter)) {
+	if stopping == nil || received.Before(stopping.requestedAt.Add(lateRequestDelay)) {
 		return false
 	}
-	bound := hold(route, budget)
-	if !received.Add(bound).After(stopping.cut) {
+	bound := requestTimeout(route, budget)
+	if !received.Add(bound).After(stopping.cutOffAt) {
 		return false
 	}
 	i.config.Logger.Info("request refused, the process stops", "request", requestID, "route", route.Name, "may_take", bound,
-		"left", time.Until(stopping.cut).Round(time.Millisecond))
+		"left", time.Until(stopping.cutOffAt).Round(time.Millisecond))
 	return true
 }
 
@@ -55,8 +55,8 @@
 		most = min(most, budget)
 	}
 	end := time.Now().Add(most)
-	if stopping := i.stop.Load(); stopping != nil && stopping.cut.Before(end) {
-		end = stopping.cut
+	if stopping := i.stop.Load(); stopping != nil && stopping.cutOffAt.Before(end) {
+		end = stopping.cutOffAt
 	}
 	return context.WithDeadline(ctx, end)
 }
--- a/internal/route/cache.go
+++ b/internal/route/cache.go
@@ -33,8 +33,8 @@
 	c.addresses[key] = address
 }
 
-// forget drops the owner of key if it is address; an empty address drops any.
-func (c *ownerCache) forget(key, address string) {
+// remove drops the owner of key if it is address; an empty address drops any.
+func (c *ownerCache) remove(key, address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if address == "" || c.addresses[key] == address {
--- a/internal/route/follow_only_test.go
+++ b/internal/route/follow_only_test.go
@@ -17,11 +17,11 @@
 type refusingCaller struct {
 	peer.Caller
 	refusals map[string]error
-	asked    []string
+	calls    []string
 }
 
 func (c *refusingCaller) Stream(_ context.Context, address, _ string, _ peer.Message) (peer.ClientStream, error) {
-	c.asked = append(c.asked, address)
+	c.calls = append(c.calls, address)
 	return nil, c.refusals[address]
 }
 
@@ -59,7 +59,7 @@
 				_, err := router.StreamOwner(t.Context(), "k", placement.Preference{}, "m", nil, Policy{FollowOnly: true})
 				is.True(err != nil)
 				is.True(tt.want == nil || errors.Is(err, tt.want))
-				is.Equal(len(caller.asked), tt.asked)
+				is.Equal(len(caller.calls), tt.asked)
 				is.Equal(time.Since(began), time.Duration(0))
 			})
 		})
--- a/internal/route/policy.go
+++ b/internal/route/policy.go
@@ -69,55 +69,55 @@
 	actionRetry
 )
 
-// verdict is the judgement of one failed attempt.
-type verdict struct {
+// decision is the judgement of one failed attempt.
+type decision struct {
 	action action
 	// mayHaveRun says that the attempt may have had effect.
 	mayHaveRun bool
-	// forget says that the address is not known to own the key any more.
-	forget bool
+	// evictOwner says that the address is not known to own the key any more.
+	evictOwner bool
 	// hint is the address of the owner, where the refusal named it.
 	hint string
 	// wait is the least pause before the next attempt.
 	wait time.Duration
 }
 
-// judge decides what follows from a failed attempt. It is a pure function.
-func judge(err error, idempotent bool) verdict {
+// decide decides what follows from a failed attempt. It is a pure function.
+func decide(err error, idempotent bool) decision {
 	var refusal *peer.Error
 	if errors.As(err, &refusal) {
-		return judgeRefusal(refusal, idempotent)
+		return decideRefusal(refusal, idempotent)
 	}
 	if errors.Is(err, peer.ErrNotSent) {
-		return verdict{action: actionRetry, forget: true}
+		return decision{action: actionRetry, evictOwner: true}
 	}
 	// Lost contact, and everything else that does not prove that nothing was sent.
-	result := verdict{mayHaveRun: true, forget: true}
+	result := decision{mayHaveRun: true, evictOwner: true}
 	if idempotent {
 		result.action = actionRetry
 	}
 	return result
 }
 
-func judgeRefusal(refusal *peer.Error, idempotent bool) verdict {
+func decideRefusal(refusal *peer.Error, idempotent bool) decision {
 	switch refusal.Code {
 	case peer.CodeNotOwner:
 		if refusal.OwnerHint != "" {
-			return verdict{action: actionFollow, forget: true, hint: refusal.OwnerHint}
+			return decision{action: actionFollow, evictOwner: true, hint: refusal.OwnerHint}
 		}
-		return verdict{action: actionRetry, forget: true, wait: refusal.RetryAfter}
+		return decision{action: actionRetry, evictOwner: true, wait: refusal.RetryAfter}
 	case peer.CodeNotReady:
-		return verdict{action: actionRetry, forget: true, wait: refusal.RetryAfter}
+		return decision{action: actionRetry, evictOwner: true, wait: refusal.RetryAfter}
 	case peer.CodeOverloaded:
-		return verdict{action: actionRetry, wait: refusal.RetryAfter}
+		return decision{action: actionRetry, wait: refusal.RetryAfter}
 	case peer.CodeUncertain:
 		if idempotent {
-			return verdict{action: actionRetry, mayHaveRun: true, wait: refusal.RetryAfter}
+			return decision{action: actionRetry, mayHaveRun: true, wait: refusal.RetryAfter}
 		}
-		return verdict{mayHaveRun: true}
+		return decision{mayHaveRun: true}
 	case peer.CodeInternal:
-		return verdict{mayHaveRun: true}
+		return decision{mayHaveRun: true}
 	default:
-		return verdict{}
+		return decision{}
 	}
 }
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -104,7 +104,7 @@
 			call.succeeded(address)
 			return nil
 		}
-		if !call.again(ctx, address, err) {
+		if !call.prepareRetry(ctx, address, err) {
 			return call.result(ctx)
 		}
 	}
@@ -132,15 +132,15 @@
 	preference placement.Preference
 	method     string
 	policy     Policy
-	pauses     *backoff.ExponentialBackOff
+	backoff    *backoff.ExponentialBackOff
 
-	attempts   int
-	hints      int
-	nextHint   string
-	mayHaveRun bool
+	attempts      int
+	hintsFollowed int
+	nextHint      string
+	mayHaveRun    bool
 	// earlierMayHaveRun is mayHaveRun as of before the last attempt.
 	earlierMayHaveRun bool
-	last              error
+	lastErr           error
 	// changed was taken before the owner of the last attempt was looked up.
 	changed <-chan struct{}
 }
@@ -152,7 +152,7 @@
 	pauses.Multiplier = backoffMultiplier
 	pauses.RandomizationFactor = backoffJitter
 	pauses.Reset()
-	return &call{router: r, key: key, preference: preference, method: method, policy: policy, pauses: pauses}
+	return &call{router: r, key: key, preference: preference, method: method, policy: policy, backoff: pauses}
 }
 
 // begin starts an attempt and returns the address to call.
@@ -181,20 +181,20 @@
 func (c *call) succeeded(address string) {
 	member, found := c.router.config.Placer.Owner(c.key, c.preference)
 	if found && member.PeerAddress == address {
-		c.router.owners.forget(c.key, "")
+		c.router.owners.remove(c.key, "")
 		return
 	}
 	c.router.owners.put(c.key, address)
 }
 
-// again takes in a failed attempt, waits as long as it must, and tells whether to try once more.
-func (c *call) again(ctx context.Context, address string, err error) bool {
-	outcome := judge(err, c.policy.Idempotent)
-	c.last = err
+// prepareRetry takes in a failed attempt, waits as long as it must, and tells whether to try once more.
+func (c *call) prepareRetry(ctx context.Context, address string, err error) bool {
+	outcome := decide(err, c.policy.Idempotent)
+	c.lastErr = err
 	c.earlierMayHaveRun = c.mayHaveRun
 	c.mayHaveRun = c.mayHaveRun || outcome.mayHaveRun
-	if outcome.forget && address != "" {
-		c.router.owners.forget(c.key, address)
+	if outcome.evictOwner && address != "" {
+		c.router.owners.remove(c.key, address)
 	}
 	if outcome.action == actionFail || ctx.Err() != nil {
 		return false
@@ -202,36 +202,36 @@
 	if c.policy.MaxAttempts > 0 && c.attempts >= c.policy.MaxAttempts {
 		return false
 	}
-	if outcome.action == actionFollow && outcome.hint != address && c.hints < c.router.config.MaxHints {
+	if outcome.action == actionFollow && outcome.hint != address && c.hintsFollowed < c.router.config.MaxHints {
 		return c.follow(ctx, outcome.hint)
 	}
 	if c.policy.FollowOnly {
 		return false
 	}
-	c.hints = 0
-	return c.pause(ctx, address, outcome)
+	c.hintsFollowed = 0
+	return c.waitForRetry(ctx, address, outcome)
 }
 
 // follow goes on to the hinted owner at once. The first hint of a call is free of the retry budget, since a redirect is
 // part of finding the owner.
 func (c *call) follow(ctx context.Context, hint string) bool {
-	c.hints++
+	c.hintsFollowed++
 	c.nextHint = hint
-	if c.hints == 1 && c.attempts == 1 {
+	if c.hintsFollowed == 1 && c.attempts == 1 {
 		return true
 	}
 	return c.router.budget.Wait(ctx) == nil
 }
 
-// pause waits for the backoff, and then for the retry budget. A new owner of the key ends the backoff, unless the peer
-// has told when to come back. pause does not wait when the context would end first.
-func (c *call) pause(ctx context.Context, failed string, outcome verdict) bool {
+// waitForRetry waits for the backoff, and then for the retry budget. A new owner of the key ends the backoff, unless the peer
+// has told when to come back. waitForRetry does not wait when the context would end first.
+func (c *call) waitForRetry(ctx context.Context, failed string, outcome decision) bool {
 	wait, worthwhile := c.nextWait(ctx, outcome.wait)
 	if !worthwhile {
 		return false
 	}
 	changed := c.changed
-	if !outcome.forget || outcome.wait > 0 {
+	if !outcome.evictOwner || outcome.wait > 0 {
 		changed = nil
 	}
 	timer := time.NewTimer(wait)
@@ -253,9 +253,9 @@
 // nextWait returns the next pause: at least told, and otherwise no more than half of the time left, so that some is left
 // for the attempt. The result is false when there is too little time.
 func (c *call) nextWait(ctx context.Context, told time.Duration) (time.Duration, bool) {
-	wait := c.pauses.NextBackOff()
+	wait := c.backoff.NextBackOff()
 	if told > 0 {
-		wait = max(wait, jitterAbove(told))
+		wait = max(wait, addJitter(told))
 	}
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
@@ -276,19 +276,19 @@
 
 // result is the error of the whole call.
 func (c *call) result(ctx context.Context) error {
-	last := c.last
+	last := c.lastErr
 	if err := ctx.Err(); err != nil && !errors.Is(last, err) {
 		last = fmt.Errorf("%w (%w)", last, err)
 	}
 	var refusal *peer.Error
-	if c.earlierMayHaveRun || (c.mayHaveRun && !errors.As(c.last, &refusal)) {
+	if c.earlierMayHaveRun || (c.mayHaveRun && !errors.As(c.lastErr, &refusal)) {
 		return &UncertainError{Method: c.method, Key: c.key, Attempts: c.attempts, Last: last}
 	}
 	return last
 }
 
-// jitterAbove returns a duration between wait and a quarter more, so that those told to come back do not come together.
-func jitterAbove(wait time.Duration) time.Duration {
+// addJitter returns a duration between wait and a quarter more, so that those told to come back do not come together.
+func addJitter(wait time.Duration) time.Duration {
 	const jitterShare = 4
 	return wait + rand.N(wait/jitterShare+1)
 }
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -21,10 +21,10 @@
 // fakeCaller answers by a script: the results of successive attempts, the last of which repeats.
 type fakeCaller struct {
 	script []error
-	// took is how long each attempt takes.
-	took  time.Duration
-	calls []string
-	times []time.Time
+	// latency is how long each attempt takes.
+	latency time.Duration
+	calls   []string
+	times   []time.Time
 }
 
 func (f *fakeCaller) next(ctx context.Context, address string) error {
@@ -33,7 +33,7 @@
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(f.took):
+	case <-time.After(f.latency):
 	}
 	return f.script[min(len(f.calls), len(f.script))-1]
 }
@@ -229,7 +229,7 @@
 func TestTimedOutAttemptMayHaveHadEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		caller := &fakeCaller{script: []error{nil}, took: time.Minute}
+		caller := &fakeCaller{script: []error{nil}, latency: time.Minute}
 		err := callKey(New(Config{Caller: caller, Placer: &fakePlacer{address: "a"}}), Policy{AttemptTimeout: time.Second})
 		is.True(errors.Is(err, peer.ErrLost) && errors.Is(err, context.DeadlineExceeded))
 		is.Equal(len(caller.calls), 1)
--- a/internal/route/stream.go
+++ b/internal/route/stream.go
@@ -65,7 +65,7 @@
 			s.replace(inner)
 			return nil
 		}
-		if !s.call.again(s.ctx, address, err) {
+		if !s.call.prepareRetry(s.ctx, address, err) {
 			return s.call.result(s.ctx)
 		}
 	}
@@ -102,7 +102,7 @@
 			return err
 		}
 		_ = inner.Close()
-		if !s.call.again(s.ctx, s.address, err) {
+		if !s.call.prepareRetry(s.ctx, s.address, err) {
 			s.started = true
 			return s.call.result(s.ctx)
 		}
