--- a/internal/ingress/bodies.go
+++ b/internal/ingress/bodies.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// bodyMemoryShare is the part of the process's memory that large bodies of callers may take together; an answer and a copy
-	// for the engine come on top of each.
+	// bodyMemoryShare is the share of the process's memory that large request bodies may use together. Each of them needs
+	// additional memory for the response and for a copy sent to the engine.
 	bodyMemoryShare = 0.15
-	// SmallBody is the size in bytes up to which a body is not counted: descriptors bound how many there are.
+	// SmallBody is the size in bytes up to which a body is not counted. The limit on file descriptors limits the number of these bodies.
 	SmallBody = 64 << 10
-	// bodyWaitTimeout is how long a large body waits for others to go.
+	// bodyWaitTimeout is how long a large body waits for memory that other bodies release.
 	bodyWaitTimeout = 500 * time.Millisecond
 )
 
-// bodyBudget bounds the memory that large bodyBudget take.
+// bodyBudget limits the memory that large request bodies use.
 type bodyBudget struct {
 	free  *semaphore.Weighted
 	total int64
@@ -28,8 +28,8 @@
 	return &bodyBudget{free: semaphore.NewWeighted(total), total: total}
 }
 
-// ReserveBody reserves memory for a body of a size in bytes, -1 if it is over SmallBody and its size is not known. It returns false
-// if there is none in time: the request is then refused before it is read whole. release gives the memory back.
+// ReserveBody reserves memory for a body of size bytes, or -1 for a body over SmallBody of unknown size. ok is false if no memory
+// becomes free in time; the caller then refuses the request before it reads the complete body. release returns the memory.
 func (i *Ingress) ReserveBody(ctx context.Context, size int64) (release func(), ok bool) {
 	if size >= 0 && size <= SmallBody {
 		return func() {}, true
@@ -37,12 +37,12 @@
 	if limit := i.Limits().MaxBodyBytes; size < 0 || limit > 0 && size > limit {
 		size = max(limit, SmallBody)
 	}
-	size = min(size, i.bodies.total)
+	size = min(size, i.bodyBudget.total)
 	ctx, cancel := context.WithTimeout(ctx, bodyWaitTimeout)
 	defer cancel()
-	if i.bodies.free.Acquire(ctx, size) != nil {
+	if i.bodyBudget.free.Acquire(ctx, size) != nil {
 		i.config.Logger.Warn("large body refused, others take the memory", "bytes", size)
 		return nil, false
 	}
-	return func() { i.bodies.free.Release(size) }, true
+	return func() { i.bodyBudget.free.Release(size) }, true
 }
--- a/internal/ingress/bodies_test.go
+++ b/internal/ingress/bodies_test.go
@@ -19,13 +19,13 @@
 	return New(Config{Catalog: holder, MemoryBytes: memory, Logger: log.New(io.Discard)})
 }
 
-// TestLargeBodiesAreBounded checks that bodies are taken up to a part of the memory, that one more waits for another to go, and
-// is refused if none goes in time; small ones always pass.
+// TestLargeBodiesAreBounded checks that large bodies are accepted up to their share of the memory, that one more waits until another is
+// released, and that it is refused if none is released in time. Small bodies are always accepted.
 func TestLargeBodiesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ingress := newIngress(100*megabyte, 33*megabyte)
-		first, ok := ingress.ReserveBody(t.Context(), 10*megabyte)
+		release, ok := ingress.ReserveBody(t.Context(), 10*megabyte)
 		is.True(ok)
 		started := time.Now()
 		_, ok = ingress.ReserveBody(t.Context(), 10*megabyte)
@@ -33,15 +33,15 @@
 		is.Equal(time.Since(started), bodyWaitTimeout)
 		_, ok = ingress.ReserveBody(t.Context(), SmallBody)
 		is.True(ok)
-		time.AfterFunc(bodyWaitTimeout/2, first)
-		second, ok := ingress.ReserveBody(t.Context(), 10*megabyte)
+		time.AfterFunc(bodyWaitTimeout/2, release)
+		releaseSecond, ok := ingress.ReserveBody(t.Context(), 10*megabyte)
 		is.True(ok)
-		second()
+		releaseSecond()
 	})
 }
 
-// TestABodyOfAnySizeIsTakenAlone checks that a body over the part, or of unknown size, is not refused for ever.
-func TestABodyOfAnySizeIsTakenAlone(t *testing.T) {
+// TestSingleBodyOfAnySizeIsAccepted checks that a body over the memory share, or of unknown size, is accepted if it is the only one.
+func TestSingleBodyOfAnySizeIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ingress := newIngress(100*megabyte, 33*megabyte)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,5 +1,5 @@
-// Package ingress meets the requests of callers at a node: it finds the route, lets the forwarder carry the request, and tells
-// the adapter the answer. It knows no protocol.
+// Package ingress handles the requests that callers send to a node. It finds the route, passes the request to the forwarder and
+// returns the answer to the protocol adapter. It is independent of the protocol.
 package ingress
 
 import (
@@ -22,56 +22,56 @@
 	Catalog   *catalog.Holder
 	Splitter  *catalog.Splitter
 	Forwarder *forward.Forwarder
-	// OnRequest takes the outcome of a request and how long it took.
-	OnRequest func(outcome forward.Outcome, took time.Duration)
-	// Meter counts the requests of tenants that began to run, nil if nobody asks for that.
+	// OnRequest is called with the outcome and the duration of each request, nil for none.
+	OnRequest func(outcome forward.Outcome, duration time.Duration)
+	// Meter counts the requests of tenants that started to run, nil for no counting.
 	Meter Meter
-	// KeyBound is how long a key may be of use after it was taken away where the store can't be reached, 0 for as long as it can't.
-	// Confirmed returns when the configuration was last known to be the newest.
+	// KeyBound is the maximum time for which a removed key may still be accepted while the store can't be reached, 0 for no limit.
+	// Confirmed returns the time at which the configuration was last known to be the newest.
 	KeyBound  time.Duration
 	Confirmed func() time.Time
-	// MemoryBytes is what the process may use; large bodies take a part of it at most.
+	// MemoryBytes is the memory that the process may use. Request bodies and unread responses are limited to shares of it.
 	MemoryBytes int64
 	Logger      *log.Logger
 }
 
 // Meter counts requests.
 type Meter interface {
-	// Ran takes that a request of a tenant began to run at a moment.
+	// Ran counts a request of a tenant that started to run at the given time.
 	Ran(tenant string, at time.Time)
 }
 
-// Ingress meets requests. It is safe for concurrent use.
+// Ingress handles requests. It is safe for concurrent use.
 type Ingress struct {
-	config Config
-	bodies *bodyBudget
-	unread *unread.Budget
-	// stop is nil until the process is to stop.
+	config     Config
+	bodyBudget *bodyBudget
+	unread     *unread.Budget
+	// stop is nil until the process was ordered to stop.
 	stop atomic.Pointer[plannedStop]
 }
 
 // New returns an ingress.
 func New(config Config) *Ingress {
-	return &Ingress{config: config, bodies: newBodyBudget(config.MemoryBytes), unread: unread.New(config.MemoryBytes, config.Logger)}
+	return &Ingress{config: config, bodyBudget: newBodyBudget(config.MemoryBytes), unread: unread.New(config.MemoryBytes, config.Logger)}
 }
 
-// Unread returns the budget of what is held in answers that callers have not read.
+// Unread returns the memory budget of response data that callers have not read.
 func (i *Ingress) Unread() *unread.Budget { return i.unread }
 
-// Match says what a request's route is.
+// Match is the result of a route lookup.
 type Match int
 
-// Results of looking a route up.
+// Results of a route lookup.
 const (
-	// Unready says that no configuration is known yet.
+	// Unready means that the node has no configuration yet.
 	Unready Match = iota
-	// Unrouted says that no route leads anywhere.
+	// Unrouted means that no route with a target matches.
 	Unrouted
-	// Routed says that a route was found.
+	// Routed means that a route was found.
 	Routed
 )
 
-// Route finds the route of a host and path.
+// Route returns the route of a host and path, and the limits in force. The route is valid only for the result Routed.
 func (i *Ingress) Route(host, path string) (catalog.Route, catalog.Limits, Match) {
 	current := i.config.Catalog.Current()
 	if current == nil {
@@ -84,24 +84,25 @@
 	return route, current.Limits, Routed
 }
 
-// Admission says whether a request may go on.
+// Admission is the result of checking a request's key.
 type Admission int
 
-// Results of looking a key up.
+// Results of checking a key.
 const (
-	// Admitted says that the request may go on, in the name of a tenant if there is one.
+	// Admitted means that the request is accepted, on behalf of a tenant if there is one.
 	Admitted Admission = iota
-	// UnknownKey says that no tenant has the key, or that none was given.
+	// UnknownKey means that the key belongs to no tenant or is missing.
 	UnknownKey
-	// NoConfiguration says that no configuration is known yet.
+	// NoConfiguration means that the node has no configuration yet.
 	NoConfiguration
-	// StaleKeys says that the keys in force can't be told: the configuration was not confirmed for longer than keys may outlive
-	// their removal.
+	// StaleKeys means that it is unknown which keys are in force: the configuration was not confirmed for longer than
+	// Config.KeyBound.
 	StaleKeys
 )
 
-// Admit finds whose a request is by its key: nobody's where the configuration names no tenants, or on a public route. Keys are looked up
-// for each request and not for each connection, so that one that is taken away is of no use on connections that are open.
+// Admit checks the key of a request and returns the tenant that it belongs to. The tenant is empty if the configuration has no tenants,
+// or on a public route if no tenant has the key. Keys are looked up for each request and not for each connection, so that a removed key
+// is refused on open connections too.
 func (i *Ingress) Admit(requestID string, public bool, key string) (tenantName string, admission Admission) {
 	current := i.config.Catalog.Current()
 	if current == nil {
@@ -147,42 +148,43 @@
 }
 
 const (
-	// slotWaitShare is the part of the aim for which a request waits for an engine with room before it is refused.
+	// slotWaitShare is the share of the route's latency target (Route.Aim) for which a request waits for an engine with a free slot before
+	// it is refused.
 	slotWaitShare = 0.25
-	// slotWaitWithoutTarget bounds the wait on routes without an aim.
+	// slotWaitWithoutTarget is the maximum wait on routes without a latency target.
 	slotWaitWithoutTarget = 50 * time.Millisecond
-	// defaultRequestTimeout bounds a request that names no deadline on a route without a timeout.
+	// defaultRequestTimeout limits a request without a deadline on a route without a timeout.
 	defaultRequestTimeout = 60 * time.Second
-	// gapTargets is how many aims an engine may be silent within a stream before another goes on.
+	// gapTargets is the maximum time between events of a stream before another engine continues it, as a multiple of the latency target.
 	gapTargets = 2
 )
 
-// requestTimeout returns how long a request of a route may be held. budget is the time that the caller waits, 0 if it did not say.
+// requestTimeout returns the timeout of a request on a route. budget is the time for which the caller waits, 0 if unknown.
 func requestTimeout(route catalog.Route, budget time.Duration) time.Duration {
-	bound := defaultRequestTimeout
+	timeout := defaultRequestTimeout
 	if route.Timeout > 0 {
-		bound = route.Timeout
+		timeout = route.Timeout
 	}
 	if budget > 0 {
-		bound = min(bound, budget)
+		timeout = min(timeout, budget)
 	}
-	return bound
+	return timeout
 }
 
-// newRequest makes the forwarder's newRequest. budget is the time that the caller waits, 0 if it did not say.
+// newRequest returns the forwarder's request. budget is the time for which the caller waits, 0 if unknown.
 func (i *Ingress) newRequest(route catalog.Route, call engineapi.Call, received time.Time, budget time.Duration) forward.Request {
-	patience := slotWaitWithoutTarget
+	slotWait := slotWaitWithoutTarget
 	if route.Aim > 0 {
-		patience = time.Duration(slotWaitShare * float64(route.Aim))
+		slotWait = time.Duration(slotWaitShare * float64(route.Aim))
 	}
 	call.Priority = engineapi.NoPriority
 	return forward.Request{
-		Pool: i.config.Splitter.Pick(route), Regions: i.config.Catalog.Regions(route, call.Tenant), Call: call, Deadline: received.Add(requestTimeout(route, budget)), Patience: patience, Aim: route.Aim,
+		Pool: i.config.Splitter.Pick(route), Regions: i.config.Catalog.Regions(route, call.Tenant), Call: call, Deadline: received.Add(requestTimeout(route, budget)), Patience: slotWait, Aim: route.Aim,
 		MaxAttempts: route.MaxAttempts, MayRepeat: route.MayRepeat(),
 	}
 }
 
-// Carry carries a request whose answer is passed on whole.
+// Carry forwards a request and returns its complete response.
 func (i *Ingress) Carry(
 	ctx context.Context, route catalog.Route, call engineapi.Call, received time.Time, budget time.Duration,
 ) forward.Answer {
@@ -193,7 +195,7 @@
 	return answer
 }
 
-// Stream carries a request whose answer is passed on event by event.
+// Stream forwards a request and passes the events of its response to receiver.
 func (i *Ingress) Stream(
 	ctx context.Context, route catalog.Route, model string, call engineapi.Call, received time.Time, budget time.Duration,
 	receiver forward.StreamReceiver,
@@ -207,30 +209,31 @@
 	return answer
 }
 
-// meter counts a request that began to run; a zero time says that it did not.
+// meter counts a request that started to run at the given time. A zero time means that it did not run.
 func (i *Ingress) meter(tenantName string, at time.Time) {
 	if i.config.Meter != nil && tenantName != "" && !at.IsZero() {
 		i.config.Meter.Ran(tenantName, at)
 	}
 }
 
-// meteredReceiver tells when the first event of a stream has come: with it a request begins to run.
+// meteredReceiver calls onFirstEvent at the first event of a stream, since a streamed request counts as started from then on.
 type meteredReceiver struct {
 	forward.StreamReceiver
 	onFirstEvent func()
 	once         sync.Once
 }
 
-// Event passes an event on.
+// Event passes an event to the wrapped receiver.
 func (m *meteredReceiver) Event(event engineapi.Event) error {
 	m.once.Do(m.onFirstEvent)
 	return m.StreamReceiver.Event(event)
 }
 
+// reportSettled logs the outcome of a request and calls OnRequest.
 func (i *Ingress) reportSettled(route catalog.Route, request forward.Request, answer forward.Answer, received time.Time) {
-	took := time.Since(received)
+	elapsed := time.Since(received)
 	if i.config.OnRequest != nil {
-		i.config.OnRequest(answer.Outcome, took)
+		i.config.OnRequest(answer.Outcome, elapsed)
 	}
 	status := 0
 	if answer.Reply != nil {
@@ -241,5 +244,5 @@
 		"outcome", answer.Outcome, "status", status, "engine", answer.EngineID, "attempts", answer.Attempts,
 		"failures", answer.Failures, "tried", strings.Join(answer.Tried, ","), "cause", answer.Cause, "content", answer.Content,
 		"left", time.Until(request.Deadline).Round(time.Millisecond),
-		"took", took.Round(100*time.Microsecond))
+		"took", elapsed.Round(100*time.Microsecond))
 }
--- a/internal/route/cache.go
+++ b/internal/route/cache.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// ownerCache remembers the owners that peers hinted, by key. It holds at most limit keys and drops any one for a new one.
+// ownerCache caches the owners that peers hinted, by key. It holds at most limit keys and evicts an arbitrary one for a new key.
 type ownerCache struct {
 	limit int
 
@@ -25,15 +25,15 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if _, known := c.addresses[key]; !known && len(c.addresses) >= c.limit {
-		for victim := range c.addresses {
-			delete(c.addresses, victim)
+		for evicted := range c.addresses {
+			delete(c.addresses, evicted)
 			break
 		}
 	}
 	c.addresses[key] = address
 }
 
-// remove drops the owner of key if it is address; an empty address drops any.
+// remove removes the owner of key if it is address. An empty address removes any owner.
 func (c *ownerCache) remove(key, address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/route/follow_only_test.go
+++ b/internal/route/follow_only_test.go
@@ -13,7 +13,7 @@
 	"github.com/hillfork/hillfork/internal/placement"
 )
 
-// refusingCaller refuses streams by address.
+// refusingCaller refuses to open streams, with an error for each address.
 type refusingCaller struct {
 	peer.Caller
 	refusals map[string]error
@@ -25,22 +25,22 @@
 	return nil, c.refusals[address]
 }
 
-// fixedPlacer places every key at one address.
+// fixedPlacer returns the same owner for every key.
 type fixedPlacer struct{ placement.Placer }
 
 func (fixedPlacer) Owner(string, placement.Preference) (placement.Member, bool) {
 	return placement.Member{PeerAddress: "a"}, true
 }
 
-// Changed returns a channel that is never closed: the placement stays.
+// Changed returns a channel that is never closed, since the placement never changes.
 func (fixedPlacer) Changed() <-chan struct{} { return nil }
 
-// TestFollowOnly checks that a hint is followed, and that every other refusal is the caller's at once.
+// TestFollowOnly checks that a policy with FollowOnly follows hints and returns every other refusal without a retry.
 func TestFollowOnly(t *testing.T) {
 	hint := &peer.Error{Code: peer.CodeNotOwner, OwnerHint: "b"}
 	cases := map[string]struct {
 		refusals map[string]error
-		asked    int
+		calls    int
 		want     error
 	}{
 		"overloaded":             {map[string]error{"a": &peer.Error{Code: peer.CodeOverloaded, RetryAfter: time.Minute}}, 1, nil},
@@ -55,12 +55,12 @@
 				is := is.New(t)
 				caller := &refusingCaller{refusals: tt.refusals}
 				router := New(Config{Caller: caller, Placer: fixedPlacer{}})
-				began := time.Now()
+				started := time.Now()
 				_, err := router.StreamOwner(t.Context(), "k", placement.Preference{}, "m", nil, Policy{FollowOnly: true})
 				is.True(err != nil)
 				is.True(tt.want == nil || errors.Is(err, tt.want))
-				is.Equal(len(caller.calls), tt.asked)
-				is.Equal(time.Since(began), time.Duration(0))
+				is.Equal(len(caller.calls), tt.calls)
+				is.Equal(time.Since(started), time.Duration(0))
 			})
 		})
 	}
--- a/internal/route/policy.go
+++ b/internal/route/policy.go
@@ -1,6 +1,6 @@
-// Package route calls the owner of a key. It finds the owner by what peers hinted last, or else by placement; follows
-// hints when the owner has moved; and retries what is safe to retry, with backoff and under a budget shared by all calls
-// of a process.
+// Package route calls the owner of a key. It finds the owner by the last hint of a peer, or else by placement. It follows
+// hints when the owner has moved, and retries what is safe to retry, with backoff and under a retry budget that all calls
+// of a Router share.
 package route
 
 import (
@@ -12,41 +12,41 @@
 	"github.com/hillfork/hillfork/internal/peer"
 )
 
-// ErrNoOwner says that placement knows no member that could own the key. It is returned wrapped together with
+// ErrNoOwner means that placement has no member that could own the key. It is returned wrapped together with
 // peer.ErrNotSent.
 var ErrNoOwner = errors.New("no member is alive to own the key")
 
-// Policy tells how a call may be retried.
+// Policy defines how a call may be retried.
 type Policy struct {
-	// Idempotent says that the call may be repeated after an attempt that may have had effect.
+	// Idempotent allows the call to be repeated after an attempt that may have had effect.
 	Idempotent bool
-	// MaxAttempts bounds the attempts, the first included; 0 leaves the bound to the context.
+	// MaxAttempts limits the attempts, the first included. 0 sets no limit besides the context.
 	MaxAttempts int
-	// AttemptTimeout bounds one attempt of CallOwner; 0 leaves the bound to the context. An attempt that times out may
+	// AttemptTimeout limits one attempt of CallOwner. 0 sets no limit besides the context. An attempt that times out may
 	// have had effect.
 	AttemptTimeout time.Duration
-	// FollowOnly gives every refusal but a hint at the owner to the caller at once, for a caller that has somewhere else to
-	// go.
+	// FollowOnly follows hints to the owner but returns every other refusal without a retry, for callers that can call
+	// another member instead.
 	FollowOnly bool
 }
 
-// UncertainError says that a call may have had effect at some attempt, although no answer tells so. It wraps
-// peer.ErrLost, and the context's error where that ended the call, but no refusal: a refusal of the last attempt says
-// nothing about those before it.
+// UncertainError means that some attempt of a call may have had effect although no response confirms it. It wraps
+// peer.ErrLost, and the context's error if that ended the call. It wraps no refusal, since a refusal of the last attempt
+// says nothing about the attempts before it.
 type UncertainError struct {
 	Method   string
 	Key      string
 	Attempts int
-	// Last is how the last attempt ended.
+	// Last is the error of the last attempt.
 	Last error
 }
 
-// Error tells the call and how its last attempt ended.
+// Error describes the call and the error of its last attempt.
 func (e *UncertainError) Error() string {
 	return fmt.Sprintf("%s for %q may have had effect after %d attempts: %v", e.Method, e.Key, e.Attempts, e.Last)
 }
 
-// Unwrap lets errors.Is find peer.ErrLost and the context's errors.
+// Unwrap returns peer.ErrLost and the context errors that Last wraps.
 func (e *UncertainError) Unwrap() []error {
 	wrapped := []error{peer.ErrLost}
 	for _, contextError := range []error{context.Canceled, context.DeadlineExceeded} {
@@ -57,32 +57,32 @@
 	return wrapped
 }
 
-// action is what to do after a failed attempt.
+// action is the next step after a failed attempt.
 type action uint8
 
 const (
-	// actionFail gives the error to the caller.
+	// actionFail returns the error to the caller.
 	actionFail action = iota
-	// actionFollow calls the hinted owner at once.
+	// actionFollow calls the hinted owner without a delay.
 	actionFollow
-	// actionRetry tries again after a pause.
+	// actionRetry makes another attempt after a backoff.
 	actionRetry
 )
 
-// decision is the judgement of one failed attempt.
+// decision is the result of classifying one failed attempt.
 type decision struct {
 	action action
-	// mayHaveRun says that the attempt may have had effect.
+	// mayHaveRun is set if the attempt may have had effect.
 	mayHaveRun bool
-	// evictOwner says that the address is not known to own the key any more.
+	// evictOwner removes the called address from the owner cache, since it may not own the key.
 	evictOwner bool
-	// hint is the address of the owner, where the refusal named it.
+	// hint is the address of the owner if the refusal contains it, else empty.
 	hint string
-	// wait is the least pause before the next attempt.
+	// wait is the minimum delay before the next attempt.
 	wait time.Duration
 }
 
-// decide decides what follows from a failed attempt. It is a pure function.
+// decide returns what to do after a failed attempt. It is a pure function.
 func decide(err error, idempotent bool) decision {
 	var refusal *peer.Error
 	if errors.As(err, &refusal) {
@@ -91,7 +91,7 @@
 	if errors.Is(err, peer.ErrNotSent) {
 		return decision{action: actionRetry, evictOwner: true}
 	}
-	// Lost contact, and everything else that does not prove that nothing was sent.
+	// peer.ErrLost, and every other error that does not prove that nothing was sent.
 	result := decision{mayHaveRun: true, evictOwner: true}
 	if idempotent {
 		result.action = actionRetry
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -29,20 +29,20 @@
 	backoffJitter     = 0.5
 )
 
-// Config sets up a Router. Zero values take the defaults.
+// Config configures a Router. Zero values are replaced by the defaults.
 type Config struct {
 	Caller peer.Caller
 	Placer placement.Placer
-	// InitialBackoff and MaxBackoff bound the jittered pause between attempts.
+	// InitialBackoff and MaxBackoff limit the jittered delay between attempts.
 	InitialBackoff time.Duration
 	MaxBackoff     time.Duration
-	// MaxHints bounds the hints followed in a row without a pause.
+	// MaxHints limits the hints followed in a row without a backoff.
 	MaxHints int
-	// RetryRate is how many attempts a second, first attempts aside, all calls of the Router may make together;
-	// RetryBurst is how many at once. Retries beyond it wait.
+	// RetryRate is the number of retries per second, first attempts not counted, that all calls of the Router may make
+	// together. RetryBurst is how many of them may be made at once. Retries over the limit wait.
 	RetryRate  float64
 	RetryBurst int
-	// CachedOwners bounds the owners remembered from hints.
+	// CachedOwners limits the number of owners cached from hints.
 	CachedOwners int
 }
 
@@ -80,12 +80,13 @@
 	}
 }
 
-// CallOwner calls the owner of key and fills response. It retries while ctx and policy allow: after refusals that had no
-// effect and are bound to pass, after peer.ErrNotSent, and where the policy says that the call is idempotent also after
-// attempts that may have had effect.
+// CallOwner calls the owner of key and fills response. It retries while ctx and policy allow: after temporary refusals that
+// had no effect, after peer.ErrNotSent, and, if the policy declares the call idempotent, also after attempts that may have
+// had effect.
 //
-// The error is the last *peer.Error, or wraps peer.ErrNotSent, when no attempt can have had effect; the last *peer.Error
-// of CodeInternal or CodeUncertain when only that one may; and else an *UncertainError, which wraps peer.ErrLost.
+// If no attempt can have had effect, the error is the last *peer.Error or wraps peer.ErrNotSent. If only the last attempt
+// may have had effect and it was refused, the error is its *peer.Error, of CodeInternal or CodeUncertain. In all other
+// cases it is an *UncertainError, which wraps peer.ErrLost.
 func (r *Router) CallOwner(
 	ctx context.Context,
 	key string,
@@ -110,7 +111,7 @@
 	}
 }
 
-// attempt makes one call, bounded by timeout where that is positive.
+// attempt makes one call, limited by timeout if that is positive.
 func (r *Router) attempt(
 	ctx context.Context,
 	address, method string,
@@ -125,7 +126,7 @@
 	return r.config.Caller.Call(ctx, address, method, request, response)
 }
 
-// call is the state of one call over its attempts.
+// call is the state of one call across its attempts.
 type call struct {
 	router     *Router
 	key        string
@@ -138,24 +139,24 @@
 	hintsFollowed int
 	nextHint      string
 	mayHaveRun    bool
-	// earlierMayHaveRun is mayHaveRun as of before the last attempt.
+	// earlierMayHaveRun is the value of mayHaveRun before the last attempt.
 	earlierMayHaveRun bool
 	lastErr           error
-	// changed was taken before the owner of the last attempt was looked up.
+	// changed is the placement's change channel, read before the lookup of the last attempt's owner so that no change is missed.
 	changed <-chan struct{}
 }
 
 func (r *Router) newCall(key string, preference placement.Preference, method string, policy Policy) *call {
-	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = r.config.InitialBackoff
-	pauses.MaxInterval = r.config.MaxBackoff
-	pauses.Multiplier = backoffMultiplier
-	pauses.RandomizationFactor = backoffJitter
-	pauses.Reset()
-	return &call{router: r, key: key, preference: preference, method: method, policy: policy, backoff: pauses}
+	exponential := backoff.NewExponentialBackOff()
+	exponential.InitialInterval = r.config.InitialBackoff
+	exponential.MaxInterval = r.config.MaxBackoff
+	exponential.Multiplier = backoffMultiplier
+	exponential.RandomizationFactor = backoffJitter
+	exponential.Reset()
+	return &call{router: r, key: key, preference: preference, method: method, policy: policy, backoff: exponential}
 }
 
-// begin starts an attempt and returns the address to call.
+// begin starts an attempt and returns the address to call: the pending hint, else the cached owner, else the owner by placement.
 func (c *call) begin(ctx context.Context) (string, error) {
 	c.attempts++
 	c.changed = c.router.config.Placer.Changed()
@@ -177,7 +178,7 @@
 	return member.PeerAddress, nil
 }
 
-// succeeded remembers the owner where placement would name another.
+// succeeded caches the owner if placement returns another one.
 func (c *call) succeeded(address string) {
 	member, found := c.router.config.Placer.Owner(c.key, c.preference)
 	if found && member.PeerAddress == address {
@@ -187,33 +188,33 @@
 	c.router.owners.put(c.key, address)
 }
 
-// prepareRetry takes in a failed attempt, waits as long as it must, and tells whether to try once more.
+// prepareRetry records a failed attempt, waits for the backoff if there is a retry, and reports whether to make another attempt.
 func (c *call) prepareRetry(ctx context.Context, address string, err error) bool {
-	outcome := decide(err, c.policy.Idempotent)
+	next := decide(err, c.policy.Idempotent)
 	c.lastErr = err
 	c.earlierMayHaveRun = c.mayHaveRun
-	c.mayHaveRun = c.mayHaveRun || outcome.mayHaveRun
-	if outcome.evictOwner && address != "" {
+	c.mayHaveRun = c.mayHaveRun || next.mayHaveRun
+	if next.evictOwner && address != "" {
 		c.router.owners.remove(c.key, address)
 	}
-	if outcome.action == actionFail || ctx.Err() != nil {
+	if next.action == actionFail || ctx.Err() != nil {
 		return false
 	}
 	if c.policy.MaxAttempts > 0 && c.attempts >= c.policy.MaxAttempts {
 		return false
 	}
-	if outcome.action == actionFollow && outcome.hint != address && c.hintsFollowed < c.router.config.MaxHints {
-		return c.follow(ctx, outcome.hint)
+	if next.action == actionFollow && next.hint != address && c.hintsFollowed < c.router.config.MaxHints {
+		return c.follow(ctx, next.hint)
 	}
 	if c.policy.FollowOnly {
 		return false
 	}
 	c.hintsFollowed = 0
-	return c.waitForRetry(ctx, address, outcome)
+	return c.waitForRetry(ctx, address, next)
 }
 
-// follow goes on to the hinted owner at once. The first hint of a call is free of the retry budget, since a redirect is
-// part of finding the owner.
+// follow sets the hinted owner as the next address. The first hint of a call does not use the retry budget, since a redirect
+// is part of finding the owner.
 func (c *call) follow(ctx context.Context, hint string) bool {
 	c.hintsFollowed++
 	c.nextHint = hint
@@ -223,15 +224,15 @@
 	return c.router.budget.Wait(ctx) == nil
 }
 
-// waitForRetry waits for the backoff, and then for the retry budget. A new owner of the key ends the backoff, unless the peer
-// has told when to come back. waitForRetry does not wait when the context would end first.
-func (c *call) waitForRetry(ctx context.Context, failed string, outcome decision) bool {
-	wait, worthwhile := c.nextWait(ctx, outcome.wait)
-	if !worthwhile {
+// waitForRetry waits for the backoff, and then for the retry budget. A new owner of the key ends the backoff unless the peer
+// set a delay. waitForRetry returns false without waiting if ctx would end first.
+func (c *call) waitForRetry(ctx context.Context, failedAddress string, next decision) bool {
+	wait, ok := c.nextWait(ctx, next.wait)
+	if !ok {
 		return false
 	}
 	changed := c.changed
-	if !outcome.evictOwner || outcome.wait > 0 {
+	if !next.evictOwner || next.wait > 0 {
 		changed = nil
 	}
 	timer := time.NewTimer(wait)
@@ -244,37 +245,38 @@
 			waiting = false
 		case <-changed:
 			changed = c.router.config.Placer.Changed()
-			waiting = !c.movedFrom(failed)
+			waiting = !c.movedFrom(failedAddress)
 		}
 	}
 	return c.router.budget.Wait(ctx) == nil
 }
 
-// nextWait returns the next pause: at least told, and otherwise no more than half of the time left, so that some is left
-// for the attempt. The result is false when there is too little time.
-func (c *call) nextWait(ctx context.Context, told time.Duration) (time.Duration, bool) {
+// nextWait returns the delay before the next attempt. It is at least minWait, the delay that the peer set. If the peer set none,
+// it is at most half of the time until the deadline, so that the attempt has time left. The result is false if the deadline
+// would pass first.
+func (c *call) nextWait(ctx context.Context, minWait time.Duration) (time.Duration, bool) {
 	wait := c.backoff.NextBackOff()
-	if told > 0 {
-		wait = max(wait, addJitter(told))
+	if minWait > 0 {
+		wait = max(wait, addJitter(minWait))
 	}
-	deadline, bounded := ctx.Deadline()
-	if !bounded {
+	deadline, limited := ctx.Deadline()
+	if !limited {
 		return wait, true
 	}
-	left := time.Until(deadline)
-	if told == 0 && left > c.router.config.InitialBackoff {
-		wait = min(wait, left/2)
+	remaining := time.Until(deadline)
+	if minWait == 0 && remaining > c.router.config.InitialBackoff {
+		wait = min(wait, remaining/2)
 	}
-	return wait, wait < left
+	return wait, wait < remaining
 }
 
-// movedFrom tells whether placement names an owner at another address than the one that failed.
-func (c *call) movedFrom(failed string) bool {
+// movedFrom reports whether placement returns an owner at another address than the one that failed.
+func (c *call) movedFrom(failedAddress string) bool {
 	member, found := c.router.config.Placer.Owner(c.key, c.preference)
-	return found && member.PeerAddress != failed
+	return found && member.PeerAddress != failedAddress
 }
 
-// result is the error of the whole call.
+// result returns the error of the call after its last attempt.
 func (c *call) result(ctx context.Context) error {
 	last := c.lastErr
 	if err := ctx.Err(); err != nil && !errors.Is(last, err) {
@@ -287,7 +289,7 @@
 	return last
 }
 
-// addJitter returns a duration between wait and a quarter more, so that those told to come back do not come together.
+// addJitter returns a duration between wait and a quarter more, so that callers with the same retry delay do not retry at the same time.
 func addJitter(wait time.Duration) time.Duration {
 	const jitterShare = 4
 	return wait + rand.N(wait/jitterShare+1)
--- a/internal/route/router_test.go
+++ b/internal/route/router_test.go
@@ -18,10 +18,10 @@
 	"github.com/hillfork/hillfork/internal/placement"
 )
 
-// fakeCaller answers by a script: the results of successive attempts, the last of which repeats.
+// fakeCaller returns scripted results for successive attempts and repeats the last one.
 type fakeCaller struct {
 	script []error
-	// latency is how long each attempt takes.
+	// latency is the duration of each attempt.
 	latency time.Duration
 	calls   []string
 	times   []time.Time
@@ -46,7 +46,7 @@
 	return nil, errors.ErrUnsupported
 }
 
-// fakePlacer places every key on one address, none if empty.
+// fakePlacer places every key at one address. An empty address means that keys have no owner.
 type fakePlacer struct {
 	mutex   sync.Mutex
 	address string
@@ -70,7 +70,7 @@
 	return f.changed
 }
 
-// place moves all keys to address.
+// place moves all keys to address and notifies the waiters of Changed.
 func (f *fakePlacer) place(address string) {
 	f.Changed()
 	f.mutex.Lock()
@@ -99,8 +99,10 @@
 	errLost    = fmt.Errorf("reset: %w", peer.ErrLost)
 )
 
-func TestWhatIsRetriedAndWhatIsReported(t *testing.T) {
-	once, repeatable := Policy{}, Policy{Idempotent: true}
+// TestCallOwnerRetriesAndErrors checks which errors are retried and which error is returned. An attempt that may have had effect must
+// not be reported as a refusal or as not sent.
+func TestCallOwnerRetriesAndErrors(t *testing.T) {
+	unsafe, idempotent := Policy{}, Policy{Idempotent: true}
 	tests := []struct {
 		name     string
 		script   []error
@@ -113,15 +115,15 @@
 		{name: "not sent is retried", script: []error{errNotSent, errNotSent, nil}, attempts: 3},
 		{name: "not ready is retried", script: []error{refuse(peer.CodeNotReady), nil}, attempts: 2},
 		{name: "not owner is retried", script: []error{redirect(""), nil}, attempts: 2},
-		{name: "lost ends an unsafe call", script: []error{errLost, nil}, policy: once, attempts: 1, want: peer.ErrLost},
-		{name: "lost is retried if idempotent", script: []error{errLost, nil}, policy: repeatable, attempts: 2},
+		{name: "lost ends an unsafe call", script: []error{errLost, nil}, policy: unsafe, attempts: 1, want: peer.ErrLost},
+		{name: "lost is retried if idempotent", script: []error{errLost, nil}, policy: idempotent, attempts: 2},
 		{
 			name: "lost after not sent is lost", script: []error{errNotSent, errLost, nil},
-			policy: once, attempts: 2, want: peer.ErrLost,
+			policy: unsafe, attempts: 2, want: peer.ErrLost,
 		},
 		{
 			name: "a refusal does not hide an earlier loss", script: []error{errLost, refuse(peer.CodeInvalid)},
-			policy: repeatable, attempts: 2, want: peer.ErrLost,
+			policy: idempotent, attempts: 2, want: peer.ErrLost,
 		},
 		{
 			name: "not sent does not hide an earlier loss", script: []error{errLost, errNotSent},
@@ -133,8 +135,8 @@
 		},
 		{name: "an unknown error counts as lost", script: []error{io.ErrUnexpectedEOF}, attempts: 1, want: peer.ErrLost},
 		{name: "uncertain ends an unsafe call", script: []error{refuse(peer.CodeUncertain)}, attempts: 1, code: peer.CodeUncertain},
-		{name: "invalid is final", script: []error{refuse(peer.CodeInvalid)}, policy: repeatable, attempts: 1, code: peer.CodeInvalid},
-		{name: "internal is final", script: []error{refuse(peer.CodeInternal)}, policy: repeatable, attempts: 1, want: nil, code: peer.CodeInternal},
+		{name: "invalid is final", script: []error{refuse(peer.CodeInvalid)}, policy: idempotent, attempts: 1, code: peer.CodeInvalid},
+		{name: "internal is final", script: []error{refuse(peer.CodeInternal)}, policy: idempotent, attempts: 1, want: nil, code: peer.CodeInternal},
 		{name: "attempts are bounded", script: []error{errNotSent}, policy: Policy{MaxAttempts: 4}, attempts: 4, want: peer.ErrNotSent},
 	}
 	for _, test := range tests {
@@ -150,7 +152,7 @@
 					is.NoErr(err)
 				case test.want != nil:
 					is.True(errors.Is(err, test.want))
-					is.True(!errors.As(err, &refusal)) // a refusal would be read as "had no effect"
+					is.True(!errors.As(err, &refusal)) // callers take a refusal as proof that the call had no effect
 					is.True(test.want == peer.ErrNotSent || !errors.Is(err, peer.ErrNotSent))
 				default:
 					is.True(errors.As(err, &refusal))
@@ -161,25 +163,28 @@
 	}
 }
 
-func TestHintsAreFollowedAtOnceAndRemembered(t *testing.T) {
+// TestHintsAreFollowedImmediatelyAndCached checks that hints are followed without a backoff, that the owner they lead to is cached, and that
+// it is evicted once it refuses as not the owner.
+func TestHintsAreFollowedImmediatelyAndCached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		caller := &fakeCaller{script: []error{redirect("b"), redirect("c"), nil}}
 		router := New(Config{Caller: caller, Placer: &fakePlacer{address: "a"}})
-		begin := time.Now()
+		started := time.Now()
 		is.NoErr(callKey(router, Policy{}))
 		is.Equal(caller.calls, []string{"a", "b", "c"})
-		is.Equal(time.Since(begin), time.Duration(0))
+		is.Equal(time.Since(started), time.Duration(0))
 		is.NoErr(callKey(router, Policy{}))
 		is.Equal(caller.calls[3:], []string{"c"})
 		caller.script = []error{redirect(""), nil}
 		caller.calls = nil
 		is.NoErr(callKey(router, Policy{}))
-		is.Equal(caller.calls, []string{"c", "a"}) // an owner that is none any more is forgotten
+		is.Equal(caller.calls, []string{"c", "a"}) // the former owner was evicted
 	})
 }
 
-func TestHintsInACircleArePacedByBackoff(t *testing.T) {
+// TestCyclicHintsUseBackoff checks that peers that hint at each other do not cause calls without a delay.
+func TestCyclicHintsUseBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		caller := &fakeCaller{script: []error{redirect("b"), redirect("a"), redirect("b"), redirect("a"), redirect("b")}}
@@ -190,36 +195,39 @@
 	})
 }
 
-func TestOverloadedWaitsAsLongAsTold(t *testing.T) {
+// TestOverloadedWaitsForRetryAfter checks that a retry waits for the delay that the peer set, and that the call fails without waiting if the
+// deadline comes first.
+func TestOverloadedWaitsForRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		caller := &fakeCaller{script: []error{overloaded(3 * time.Second), nil}}
 		is.NoErr(callKey(New(Config{Caller: caller, Placer: &fakePlacer{address: "a"}}), Policy{}))
 		is.True(caller.times[1].Sub(caller.times[0]) >= 3*time.Second)
 		caller = &fakeCaller{script: []error{overloaded(time.Minute)}}
-		begin := time.Now()
+		started := time.Now()
 		err := callKey(New(Config{Caller: caller, Placer: &fakePlacer{address: "a"}}), Policy{})
 		var refusal *peer.Error
 		is.True(errors.As(err, &refusal))
 		is.Equal(refusal.RetryAfter, time.Minute)
-		is.Equal(time.Since(begin), time.Duration(0)) // there is no use in waiting for what comes after the deadline
+		is.Equal(time.Since(started), time.Duration(0)) // the deadline is before the end of the delay
 	})
 }
 
-func TestNewOwnerEndsThePause(t *testing.T) {
+// TestNewOwnerEndsBackoff checks that a backoff ends when placement returns another owner, but not at changes that leave the owner the same.
+func TestNewOwnerEndsBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		placer := &fakePlacer{}
 		caller := &fakeCaller{script: []error{errNotSent, nil}}
 		config := Config{Caller: caller, Placer: placer, InitialBackoff: 5 * time.Second, MaxBackoff: 5 * time.Second}
-		begin := time.Now()
+		started := time.Now()
 		time.AfterFunc(time.Second, func() { placer.place("a") })
-		time.AfterFunc(2*time.Second, func() { placer.place("a") }) // a change that does not concern the key
+		time.AfterFunc(2*time.Second, func() { placer.place("a") }) // a change that leaves the key's owner the same
 		time.AfterFunc(3*time.Second, func() { placer.place("b") })
 		is.NoErr(callKey(New(config), Policy{}))
 		is.Equal(caller.calls, []string{"a", "b"})
-		is.Equal(caller.times[0].Sub(begin), time.Second)
-		is.Equal(caller.times[1].Sub(begin), 3*time.Second)
+		is.Equal(caller.times[0].Sub(started), time.Second)
+		is.Equal(caller.times[1].Sub(started), 3*time.Second)
 		placer.place("")
 		err := callKey(New(config), Policy{})
 		is.True(errors.Is(err, ErrNoOwner) && errors.Is(err, peer.ErrNotSent))
@@ -239,26 +247,27 @@
 	})
 }
 
-func TestRetriesOfAllCallsShareABudget(t *testing.T) {
+// TestCallsShareRetryBudget checks that the retries of all calls of a Router together stay within its budget.
+func TestCallsShareRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const callers, seconds, retryRate, retryBurst = 200, 10, 20, 10
-		counted := &countingCaller{}
+		counter := &countingCaller{}
 		router := New(Config{
-			Caller: counted, Placer: &fakePlacer{address: "a"}, RetryRate: retryRate, RetryBurst: retryBurst,
+			Caller: counter, Placer: &fakePlacer{address: "a"}, RetryRate: retryRate, RetryBurst: retryBurst,
 		})
 		for range callers {
 			go func() { _ = callWithin(router, Policy{}, seconds*time.Second) }()
 		}
 		time.Sleep(seconds * time.Second)
 		synctest.Wait()
-		made := int(counted.count.Load())
-		is.True(made <= callers+retryBurst+retryRate*seconds)
-		is.True(made > callers+retryRate*seconds/2) // it slows retries down and doesn't end them
+		calls := int(counter.count.Load())
+		is.True(calls <= callers+retryBurst+retryRate*seconds)
+		is.True(calls > callers+retryRate*seconds/2) // the budget delays retries but does not stop them
 	})
 }
 
-// countingCaller fails every call and counts them.
+// countingCaller fails and counts every call.
 type countingCaller struct {
 	fakeCaller
 	count atomic.Int64
--- a/internal/route/stream.go
+++ b/internal/route/stream.go
@@ -10,9 +10,9 @@
 	"github.com/hillfork/hillfork/internal/placement"
 )
 
-// StreamOwner sends request to the owner of key and returns the stream of answers. It retries as CallOwner does, when the
-// stream is opened and, inside the first Receive, until the first message has come. From then on errors are those of the
-// stream itself. The errors are those of CallOwner. policy.AttemptTimeout has no effect.
+// StreamOwner sends request to the owner of key and returns the stream of responses. It retries as CallOwner does, both when
+// the stream is opened and inside the first Receive, until the first message has arrived. Until then the errors are those
+// of CallOwner; after that they are those of the stream itself. policy.AttemptTimeout has no effect.
 //
 // The stream must be closed. It may be closed while Receive runs.
 func (r *Router) StreamOwner(
@@ -37,8 +37,8 @@
 	return stream, nil
 }
 
-// ownerStream is a stream that is opened again until its first message. call, address and started belong to the one
-// goroutine that receives.
+// ownerStream is a stream that is reopened after errors until its first message. Only the receiving goroutine may access
+// call, address and started; the mutex guards inner and closed.
 type ownerStream struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -71,7 +71,7 @@
 	}
 }
 
-// replace sets the stream that is received from; one that comes after Close is closed.
+// replace sets the inner stream. It closes the new stream if Close was called before.
 func (s *ownerStream) replace(inner peer.ClientStream) {
 	s.mutex.Lock()
 	s.inner = inner
@@ -88,7 +88,7 @@
 	return s.inner
 }
 
-// Receive fills into with the next message, or returns io.EOF after the last.
+// Receive fills into with the next message. It returns io.EOF after the last one.
 func (s *ownerStream) Receive(into peer.Message) error {
 	for {
 		inner := s.current()
@@ -113,7 +113,7 @@
 	}
 }
 
-// Close tells the peer that nobody listens any more, and ends a Receive that waits.
+// Close closes the stream, so that the peer stops sending, and ends a Receive that is waiting.
 func (s *ownerStream) Close() error {
 	s.mutex.Lock()
 	s.closed = true
--- a/internal/route/stream_test.go
+++ b/internal/route/stream_test.go
@@ -14,7 +14,7 @@
 	"github.com/hillfork/hillfork/internal/placement"
 )
 
-// streamCaller opens streams by a script: for each attempt the error to open it, or the results of its Receives.
+// streamCaller opens scripted streams. The script gives for each attempt the error of opening it or the results of its Receive calls.
 type streamCaller struct {
 	fakeCaller
 	attempts []scriptedStream
@@ -25,7 +25,7 @@
 type scriptedStream struct {
 	openError error
 	receives  []error
-	owner     *streamCaller
+	caller    *streamCaller
 }
 
 func (c *streamCaller) Stream(context.Context, string, string, peer.Message) (peer.ClientStream, error) {
@@ -34,7 +34,7 @@
 	if attempt.openError != nil {
 		return nil, attempt.openError
 	}
-	attempt.owner = c
+	attempt.caller = c
 	return &attempt, nil
 }
 
@@ -45,13 +45,15 @@
 }
 
 func (s *scriptedStream) Close() error {
-	s.owner.closed++
+	s.caller.closed++
 	return nil
 }
 
+// TestStreamsAreRetriedOnlyBeforeTheFirstMessage checks when a failed stream is reopened, which error is returned, and that streams are
+// closed.
 func TestStreamsAreRetriedOnlyBeforeTheFirstMessage(t *testing.T) {
 	failing := func(err error) scriptedStream { return scriptedStream{receives: []error{err}} }
-	whole := scriptedStream{receives: []error{nil, nil, io.EOF}}
+	complete := scriptedStream{receives: []error{nil, nil, io.EOF}}
 	tests := []struct {
 		name     string
 		attempts []scriptedStream
@@ -60,18 +62,18 @@
 		opened   int
 		want     error
 	}{
-		{name: "whole", attempts: []scriptedStream{whole}, messages: 2, opened: 1, want: io.EOF},
+		{name: "whole", attempts: []scriptedStream{complete}, messages: 2, opened: 1, want: io.EOF},
 		{name: "empty", attempts: []scriptedStream{failing(io.EOF)}, opened: 1, want: io.EOF},
-		{name: "not opened", attempts: []scriptedStream{{openError: errNotSent}, whole}, messages: 2, opened: 2, want: io.EOF},
-		{name: "refused", attempts: []scriptedStream{failing(redirect("b")), whole}, messages: 2, opened: 2, want: io.EOF},
-		{name: "lost before the first", attempts: []scriptedStream{failing(errLost), whole}, opened: 1, want: peer.ErrLost},
+		{name: "not opened", attempts: []scriptedStream{{openError: errNotSent}, complete}, messages: 2, opened: 2, want: io.EOF},
+		{name: "refused", attempts: []scriptedStream{failing(redirect("b")), complete}, messages: 2, opened: 2, want: io.EOF},
+		{name: "lost before the first", attempts: []scriptedStream{failing(errLost), complete}, opened: 1, want: peer.ErrLost},
 		{
-			name: "lost before the first, idempotent", attempts: []scriptedStream{failing(errLost), whole},
+			name: "lost before the first, idempotent", attempts: []scriptedStream{failing(errLost), complete},
 			policy: Policy{Idempotent: true}, messages: 2, opened: 2, want: io.EOF,
 		},
 		{
 			name:     "lost after the first, idempotent",
-			attempts: []scriptedStream{{receives: []error{nil, errLost}}, whole},
+			attempts: []scriptedStream{{receives: []error{nil, errLost}}, complete},
 			policy:   Policy{Idempotent: true}, messages: 1, opened: 1, want: peer.ErrLost,
 		},
 		{
