--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -20,8 +20,8 @@
 	body   []byte
 	err    error
 	// sentAt is when the attempt started, duration how long it lasted.
-	sentAt   time.Time
-	duration time.Duration
+	sentAt  time.Time
+	elapsed time.Duration
 	// standing is the request's standing at the quarantine after the attempt.
 	standing quarantine.Standing
 }
@@ -172,7 +172,7 @@
 	default:
 		e.recordRun(result.sentAt)
 		directory.Answered(result.engine.ID, result.sentAt)
-		directory.Succeeded(result.engine.ID, result.duration)
+		directory.Succeeded(result.engine.ID, result.elapsed)
 		e.reportAnswered(&result)
 		return e.answered(&result), true
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -187,7 +187,7 @@
 	reply, err := f.config.Client.Send(ctx, engine, call)
 	if err != nil {
 		elapsed := time.Since(started)
-		return attempt{engine: engine, err: err, sentAt: started, duration: elapsed, standing: f.reportBroken(ctx, engine, call, err, crashLimit, elapsed)}
+		return attempt{engine: engine, err: err, sentAt: started, elapsed: elapsed, standing: f.reportBroken(ctx, engine, call, err, crashLimit, elapsed)}
 	}
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBodyBytes+1))
 	closeErr := reply.Body.Close()
@@ -202,7 +202,7 @@
 	}
 	elapsed := time.Since(started)
 	return attempt{
-		engine: engine, reply: reply, body: body, err: err, sentAt: started, duration: elapsed,
+		engine: engine, reply: reply, body: body, err: err, sentAt: started, elapsed: elapsed,
 		standing: f.reportBroken(ctx, engine, call, err, crashLimit, elapsed),
 	}
 }
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -225,7 +225,7 @@
 }
 
 // waitForRetry waits for the backoff, and then for the retry budget. A new owner of the key ends the backoff unless the peer
-// set a delay. waitForRetry returns false without waiting if ctx would end first.
+// set a delay. waitForRetry returns false without waiting if the deadline of ctx is before the end of the backoff.
 func (c *call) waitForRetry(ctx context.Context, failedAddress string, next decision) bool {
 	wait, ok := c.nextWait(ctx, next.wait)
 	if !ok {
