--- a/internal/forward/cut_room_test.go
+++ b/internal/forward/cut_room_test.go
@@ -17,11 +17,11 @@
 		is := is.New(t)
 		env := newTestEnv(map[string]memoryengine.Behaviour{"a": {Full: true}, "b": {Full: true}})
 		waiting := request(false)
-		waiting.Patience = time.Second
+		waiting.MaxSlotWait = time.Second
 		time.AfterFunc(10*time.Millisecond, env.forwarder.CutOff)
 		answer := env.forwarder.Do(t.Context(), waiting)
 		is.Equal(answer.Outcome.String(), forward.NotRun.String())
-		is.True(answer.RanAt.IsZero())
+		is.True(answer.StartedAt.IsZero())
 		is.Equal(len(env.engines.Runs()), 0)
 	})
 }
--- a/internal/forward/cut_test.go
+++ b/internal/forward/cut_test.go
@@ -28,7 +28,7 @@
 		go func() { streamed <- env.forwarder.Stream(t.Context(), streamRequest(true, 10), new(receiver)) }()
 		answer := env.forwarder.Do(t.Context(), crashRequest(false))
 		is.Equal(answer.Outcome, forward.TimedOut)
-		is.Equal(answer.RanAt, started)
+		is.Equal(answer.StartedAt, started)
 		is.Equal((<-streamed).Outcome, forward.TimedOut)
 		is.Equal(time.Since(started), cutOffDelay)
 		synctest.Wait()
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -119,7 +119,7 @@
 
 // awaitSlot waits for a free slot after all available engines were tried. It returns false once the request's patience or ctx has ended.
 func (e *exchange) awaitSlot(ctx context.Context) bool {
-	if time.Since(e.started) >= e.request.Patience || ctx.Err() != nil {
+	if time.Since(e.started) >= e.request.MaxSlotWait || ctx.Err() != nil {
 		return false
 	}
 	// Every available engine was tried, so each may be tried again.
@@ -247,7 +247,7 @@
 func (e *exchange) answered(result *attempt) Answer {
 	return Answer{
 		Outcome: Answered, Reply: result.reply, Body: result.body, Attempts: e.sent, Failures: e.failures,
-		EngineID: result.engine.ID, Tried: e.offered, Cause: e.cause, RanAt: e.startedAt(),
+		EngineID: result.engine.ID, Tried: e.offered, Cause: e.cause, StartedAt: e.startedAt(),
 	}
 }
 
@@ -257,7 +257,7 @@
 		return e.answered(e.lastFailure)
 	}
 	answer := Answer{
-		Outcome: Lost, Attempts: e.sent, Failures: e.failures, Tried: e.offered, Cause: e.cause, RanAt: e.startedAt(),
+		Outcome: Lost, Attempts: e.sent, Failures: e.failures, Tried: e.offered, Cause: e.cause, StartedAt: e.startedAt(),
 	}
 	if len(e.offered) == 0 {
 		answer.Cause = causeNoEngine
@@ -272,7 +272,7 @@
 // timeout returns the answer to a request whose context has ended. Attempts still running count as possibly run.
 func (e *exchange) timeout() Answer {
 	answer := Answer{
-		Outcome: TimedOut, Attempts: e.sent, Failures: e.failures, Tried: e.offered, Cause: e.cause, RanAt: e.startedAt(),
+		Outcome: TimedOut, Attempts: e.sent, Failures: e.failures, Tried: e.offered, Cause: e.cause, StartedAt: e.startedAt(),
 	}
 	if e.running > 0 {
 		answer.Cause = causeSilent
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -50,24 +50,24 @@
 	Call    engineapi.Call
 	// Deadline is the time after which the response is of no use.
 	Deadline time.Time
-	// Patience is how long the request waits for an engine with a free slot before it is refused.
-	Patience time.Duration
+	// MaxSlotWait is how long the request waits for an engine with a free slot before it is refused.
+	MaxSlotWait time.Duration
 	// Aim is the latency target: a response within it earns full credit.
 	Aim time.Duration
 	// MaxAttempts limits the number of attempts that may have run the request.
 	MaxAttempts int
 	// MayRepeat allows the request to run more than once.
 	MayRepeat bool
-	// Strikes is the crash limit: the number of engines that may crash under requests of this content before such requests are
+	// CrashLimit is the crash limit: the number of engines that may crash under requests of this content before such requests are
 	// withheld. 0 means policy.RequestStrikes.
-	Strikes int
+	CrashLimit int
 }
 
 func (r Request) crashLimit() int {
-	if r.Strikes == 0 {
+	if r.CrashLimit == 0 {
 		return policy.RequestStrikes
 	}
-	return r.Strikes
+	return r.CrashLimit
 }
 
 // Answer is the result of a request.
@@ -78,9 +78,9 @@
 	Body  []byte
 	// RetryAfter is the delay after which a caller whose request was not run should retry.
 	RetryAfter time.Duration
-	// RanAt is when the request started to run or may have started: the send time of the earliest attempt that an engine answered,
+	// StartedAt is when the request started to run or may have started: the send time of the earliest attempt that an engine answered,
 	// or of the first attempt without a response if there is none. It is zero if no engine has run the request.
-	RanAt time.Time
+	StartedAt time.Time
 	// Attempts counts the attempts that were not rejected; Failures counts those that were answered with a status of 500 or above.
 	Attempts int
 	Failures int
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -57,7 +57,7 @@
 func request(mayRepeat bool) forward.Request {
 	return forward.Request{
 		Pool: "p", Call: engineapi.Call{Method: http.MethodPost, RequestID: "r", Priority: engineapi.NoPriority},
-		Deadline: time.Now().Add(deadline), Patience: aim / 4, Aim: aim, MaxAttempts: 3, MayRepeat: mayRepeat,
+		Deadline: time.Now().Add(deadline), MaxSlotWait: aim / 4, Aim: aim, MaxAttempts: 3, MayRepeat: mayRepeat,
 	}
 }
 
@@ -131,7 +131,7 @@
 		env := newTestEnv(map[string]memoryengine.Behaviour{"a": failing, "b": failing})
 		limited := request(true)
 		limited.MaxAttempts = 4
-		limited.Patience = deadline
+		limited.MaxSlotWait = deadline
 		answer := env.forwarder.Do(t.Context(), limited)
 		is.Equal(answer.Failures, 4)
 		is.Equal(len(env.engines.Runs()), 4)
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -140,7 +140,7 @@
 		is := is.New(t)
 		env := newQuarantineEnv(t)
 		limited := crashRequest(true)
-		limited.Strikes = 3
+		limited.CrashLimit = 3
 		is.Equal(env.forwarder.Do(t.Context(), limited).Attempts, 3)
 		is.Equal(env.forwarder.Do(t.Context(), limited).Outcome, forward.Withheld)
 	})
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -109,7 +109,7 @@
 }
 
 func (s *streamExchange) awaitSlot(ctx context.Context) bool {
-	if ctx.Err() != nil || (time.Since(s.started) >= s.request.Patience && !s.headSent) {
+	if ctx.Err() != nil || (time.Since(s.started) >= s.request.MaxSlotWait && !s.headSent) {
 		return false
 	}
 	s.tried = nil
--- a/internal/ingress/bodies_test.go
+++ b/internal/ingress/bodies_test.go
@@ -31,7 +31,7 @@
 		_, ok = ingress.ReserveBody(t.Context(), 10*megabyte)
 		is.True(!ok)
 		is.Equal(time.Since(started), bodyWaitTimeout)
-		_, ok = ingress.ReserveBody(t.Context(), SmallBody)
+		_, ok = ingress.ReserveBody(t.Context(), SmallBodyBytes)
 		is.True(ok)
 		time.AfterFunc(bodyWaitTimeout/2, release)
 		releaseSecond, ok := ingress.ReserveBody(t.Context(), 10*megabyte)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -179,18 +179,18 @@
 	}
 	call.Priority = engineapi.NoPriority
 	return forward.Request{
-		Pool: i.config.Splitter.Pick(route), Regions: i.config.Catalog.Regions(route, call.Tenant), Call: call, Deadline: received.Add(requestTimeout(route, budget)), Patience: slotWait, Aim: route.Aim,
+		Pool: i.config.Splitter.Pick(route), Regions: i.config.Catalog.Regions(route, call.Tenant), Call: call, Deadline: received.Add(requestTimeout(route, budget)), MaxSlotWait: slotWait, Aim: route.Aim,
 		MaxAttempts: route.MaxAttempts, MayRepeat: route.MayRepeat(),
 	}
 }
 
-// Carry forwards a request and returns its complete response.
-func (i *Ingress) Carry(
+// Forward forwards a request and returns its complete response.
+func (i *Ingress) Forward(
 	ctx context.Context, route catalog.Route, call engineapi.Call, received time.Time, budget time.Duration,
 ) forward.Answer {
 	request := i.newRequest(route, call, received, budget)
 	answer := i.config.Forwarder.Do(ctx, request)
-	i.meter(call.Tenant, answer.RanAt)
+	i.meter(call.Tenant, answer.StartedAt)
 	i.reportSettled(route, request, answer, received)
 	return answer
 }
--- a/internal/ingress/stop.go
+++ b/internal/ingress/stop.go
@@ -33,9 +33,9 @@
 	i.config.Forwarder.CutOff()
 }
 
-// Outlasts reports whether a request received at the given time may run past the cut-off of a planned stop. Such a request is to be
+// MayOutlastStop reports whether a request received at the given time may run past the cut-off of a planned stop. Such a request is to be
 // refused at once: it has not run, and other processes have the time to run it.
-func (i *Ingress) Outlasts(requestID string, route catalog.Route, received time.Time, budget time.Duration) bool {
+func (i *Ingress) MayOutlastStop(requestID string, route catalog.Route, received time.Time, budget time.Duration) bool {
 	stopping := i.stop.Load()
 	if stopping == nil || received.Before(stopping.requestedAt.Add(lateRequestDelay)) {
 		return false
@@ -49,9 +49,9 @@
 	return true
 }
 
-// Bound returns a context with a deadline for a call that is not forwarded to an engine. The deadline is the earliest of: the time for which
+// LimitContext returns a context with a deadline for a call that is not forwarded to an engine. The deadline is the earliest of: the time for which
 // the caller waits (budget, 0 if unknown), limit, and the cut-off of a planned stop.
-func (i *Ingress) Bound(ctx context.Context, budget, limit time.Duration) (context.Context, context.CancelFunc) {
+func (i *Ingress) LimitContext(ctx context.Context, budget, limit time.Duration) (context.Context, context.CancelFunc) {
 	if budget > 0 {
 		limit = min(limit, budget)
 	}
--- a/internal/jobrun/score.go
+++ b/internal/jobrun/score.go
@@ -61,7 +61,7 @@
 			Method: http.MethodPost, Target: scorer.Path, Host: scorer.Host, Body: scorer.Body, RequestID: scorer.ID,
 			Priority: engineapi.NoPriority,
 		},
-		Deadline: deadline, Patience: scoreTimeout, Aim: route.Aim, MaxAttempts: route.MaxAttempts, MayRepeat: true,
-		Strikes: policy.ItemStrikes,
+		Deadline: deadline, MaxSlotWait: scoreTimeout, Aim: route.Aim, MaxAttempts: route.MaxAttempts, MayRepeat: true,
+		CrashLimit: policy.ItemStrikes,
 	}
 }
