--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -117,7 +117,7 @@
 	return true
 }
 
-// awaitSlot waits for a free slot after all available engines were tried. It returns false once the request's patience or ctx has ended.
+// awaitSlot waits for a free slot after all available engines were tried. It returns false once MaxSlotWait has passed or ctx has ended.
 func (e *exchange) awaitSlot(ctx context.Context) bool {
 	if time.Since(e.started) >= e.request.MaxSlotWait || ctx.Err() != nil {
 		return false
--- a/internal/ingress/bodies.go
+++ b/internal/ingress/bodies.go
@@ -11,7 +11,7 @@
 	// bodyMemoryShare is the share of the process's memory that large request bodies may use together. Each of them needs
 	// additional memory for the response and for a copy sent to the engine.
 	bodyMemoryShare = 0.15
-	// SmallBodyBytes is the size in bytes up to which a body is not counted. The limit on file descriptors limits the number of these bodies.
+	// SmallBodyBytes is the size up to which a body is not counted. The limit on file descriptors limits the number of these bodies.
 	SmallBodyBytes = 64 << 10
 	// bodyWaitTimeout is how long a large body waits for memory that other bodies release.
 	bodyWaitTimeout = 500 * time.Millisecond
@@ -28,7 +28,7 @@
 	return &bodyBudget{free: semaphore.NewWeighted(total), total: total}
 }
 
-// ReserveBody reserves memory for a body of size bytes, or -1 for a body over SmallBody of unknown size. ok is false if no memory
+// ReserveBody reserves memory for a body of size bytes, or -1 for a body over SmallBodyBytes of unknown size. ok is false if no memory
 // becomes free in time; the caller then refuses the request before it reads the complete body. release returns the memory.
 func (i *Ingress) ReserveBody(ctx context.Context, size int64) (release func(), ok bool) {
 	if size >= 0 && size <= SmallBodyBytes {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -184,7 +184,7 @@
 	}
 }
 
-// Forward forwards a request and returns its complete response.
+// Forward sends a request to engines of its route and returns the complete response.
 func (i *Ingress) Forward(
 	ctx context.Context, route catalog.Route, call engineapi.Call, received time.Time, budget time.Duration,
 ) forward.Answer {
@@ -195,7 +195,7 @@
 	return answer
 }
 
-// Stream forwards a request and passes the events of its response to receiver.
+// Stream sends a request to engines of its route and passes the events of the response to receiver.
 func (i *Ingress) Stream(
 	ctx context.Context, route catalog.Route, model string, call engineapi.Call, received time.Time, budget time.Duration,
 	receiver forward.StreamReceiver,
