--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -19,7 +19,7 @@
 	reply  *engineapi.Reply
 	body   []byte
 	err    error
-	// sentAt is when the attempt started, duration how long it lasted.
+	// sentAt is when the attempt started, elapsed is how long it lasted.
 	sentAt  time.Time
 	elapsed time.Duration
 	// standing is the request's standing at the quarantine after the attempt.
@@ -38,7 +38,7 @@
 	sent       int
 	rejections int
 	failures   int
-	// standing says whether engines have crashed under the request.
+	// standing is the strictest standing of the request so far: whether engines have crashed under it.
 	standing quarantine.Standing
 	// mayHaveRun is set once an attempt has ended that is not proven not to have run.
 	mayHaveRun  bool
@@ -160,7 +160,7 @@
 		directory.TurnedAway(result.engine.ID)
 		e.recordRejection()
 	case result.reply.Stamp == "" && result.reply.Status < http.StatusMultipleChoices:
-		// A success without the engine's signature does not come from the engine and counts as a failure.
+		// A success without the engine's signature counts as a failure.
 		directory.Failed(result.engine.ID, policy.FailureInWork, e.cause)
 		e.mayHaveRun = true
 	case result.reply.Status >= http.StatusInternalServerError:
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -58,7 +58,8 @@
 	MaxAttempts int
 	// MayRepeat allows the request to run more than once.
 	MayRepeat bool
-	// CrashLimit is the number of engines that may crash under requests of this content before such requests are withheld. 0 means policy.RequestStrikes.
+	// CrashLimit is the number of engines that may crash under requests of this content before such requests are withheld,
+	// 0 for the default.
 	CrashLimit int
 }
 
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -18,7 +18,8 @@
 	Model string
 	// Resumable allows another engine to continue a stream that broke off.
 	Resumable bool
-	// Gap is the maximum time between events of a resumable stream; after it another engine continues. 0 means no limit.
+	// Gap is the maximum time between events of a resumable stream; after it another engine continues. 0 sets no limit besides
+	// the deadline.
 	Gap time.Duration
 }
 
