--- a/internal/ingress/bodies.go
+++ b/internal/ingress/bodies.go
@@ -8,41 +8,41 @@
 )
 
 const (
-	// bodiesShare is the part of the process's memory that large bodies of callers may take together; an answer and a copy
-	// for the engine come on top of each.
-	bodiesShare = 0.15
-	// SmallBody is the size in bytes up to which a body is not counted: descriptors bound how many there are.
-	SmallBody = 64 << 10
-	// bodiesPatience is how long a large body waits for others to go.
-	bodiesPatience = 500 * time.Millisecond
+	// bodyMemoryShare is the share of the process's memory that large request bodies may use together. Each of them needs
+	// additional memory for the response and for a copy sent to the engine.
+	bodyMemoryShare = 0.15
+	// SmallBodyBytes is the size up to which a body is not counted. The limit on file descriptors limits the number of these bodies.
+	SmallBodyBytes = 64 << 10
+	// bodyWaitTimeout is how long a large body waits for memory that other bodies release.
+	bodyWaitTimeout = 500 * time.Millisecond
 )
 
-// bodies bounds the memory that large bodies take.
-type bodies struct {
-	room  *semaphore.Weighted
+// bodyBudget limits the memory that large request bodies use.
+type bodyBudget struct {
+	free  *semaphore.Weighted
 	total int64
 }
 
-func newBodies(memory int64) *bodies {
-	total := max(SmallBody, int64(bodiesShare*float64(memory)))
-	return &bodies{room: semaphore.NewWeighted(total), total: total}
+func newBodyBudget(memory int64) *bodyBudget {
+	total := max(SmallBodyBytes, int64(bodyMemoryShare*float64(memory)))
+	return &bodyBudget{free: semaphore.NewWeighted(total), total: total}
 }
 
-// ReserveBody reserves memory for a body of a size in bytes, -1 if it is over SmallBody and its size is not known. It returns false
-// if there is none in time: the request is then refused before it is read whole. release gives the memory back.
+// ReserveBody reserves memory for a body of size bytes, or -1 for a body over SmallBodyBytes of unknown size. ok is false if no memory
+// becomes free in time; the caller then refuses the request before it reads the complete body. release returns the memory.
 func (i *Ingress) ReserveBody(ctx context.Context, size int64) (release func(), ok bool) {
-	if size >= 0 && size <= SmallBody {
+	if size >= 0 && size <= SmallBodyBytes {
 		return func() {}, true
 	}
 	if limit := i.Limits().MaxBodyBytes; size < 0 || limit > 0 && size > limit {
-		size = max(limit, SmallBody)
+		size = max(limit, SmallBodyBytes)
 	}
-	size = min(size, i.bodies.total)
-	ctx, cancel := context.WithTimeout(ctx, bodiesPatience)
+	size = min(size, i.bodyBudget.total)
+	ctx, cancel := context.WithTimeout(ctx, bodyWaitTimeout)
 	defer cancel()
-	if i.bodies.room.Acquire(ctx, size) != nil {
+	if i.bodyBudget.free.Acquire(ctx, size) != nil {
 		i.config.Logger.Warn("large body refused, others take the memory", "bytes", size)
 		return nil, false
 	}
-	return func() { i.bodies.room.Release(size) }, true
+	return func() { i.bodyBudget.free.Release(size) }, true
 }
