--- a/internal/answer/assembler.go
+++ b/internal/answer/assembler.go
@@ -1,5 +1,6 @@
-// Package answer puts the events of one attempt at a request together into an answer without a gap, and tells how the
-// attempt ended. It is shared by the gateway, which relays the parts, and the request ledger, which records the whole.
+// Package answer assembles the events of one attempt at a request into an answer without gaps, and determines how the
+// attempt ended. It is shared by the gateway, which relays the parts, and the request ledger, which records the
+// complete answer.
 package answer
 
 import (
@@ -7,31 +8,31 @@
 	"github.com/hillfork/hillfork/internal/reorder"
 )
 
-// Drops counts events that were not taken, by cause.
+// Drops counts dropped events by cause.
 type Drops struct {
-	// Foreign events name another request or attempt.
+	// Foreign events belong to another request or attempt.
 	Foreign int
-	// Duplicate events hold only tokens that had arrived.
+	// Duplicate events contain only tokens that have already arrived, or are a second end of the attempt.
 	Duplicate int
-	// Overflow events came too far ahead of a missing one.
+	// Overflow events are too far ahead of a missing event to be buffered.
 	Overflow int
 }
 
-// Total is the number of events dropped.
+// Total returns the number of dropped events.
 func (d Drops) Total() int { return d.Foreign + d.Duplicate + d.Overflow }
 
-// Assembler orders the events of one attempt. It is not safe for concurrent use.
+// Assembler puts the events of one attempt in order. It is not safe for concurrent use.
 type Assembler struct {
 	requestID string
 	attempt   uint32
 	tokens    *reorder.Buffer[peerapi.ExecuteEvent]
 	end       *peerapi.ExecuteEvent
-	// foreign and secondEnds count events that never reach tokens.
+	// foreign and secondEnds count dropped events that are not passed to tokens.
 	foreign    int
 	secondEnds int
 }
 
-var eventShape = reorder.Accessors[peerapi.ExecuteEvent]{
+var eventAccessors = reorder.Accessors[peerapi.ExecuteEvent]{
 	Index:  func(event peerapi.ExecuteEvent) int { return event.Index },
 	Length: func(event peerapi.ExecuteEvent) int { return len(event.Tokens) },
 	Skip: func(event peerapi.ExecuteEvent, tokens int) peerapi.ExecuteEvent {
@@ -41,22 +42,22 @@
 	},
 }
 
-// NewAssembler expects the events of an attempt that goes on after resumed tokens.
+// NewAssembler returns an Assembler for an attempt that continues after the given number of resumed tokens.
 func NewAssembler(requestID string, attempt uint32, resumed int) *Assembler {
-	return &Assembler{requestID: requestID, attempt: attempt, tokens: reorder.NewBuffer(eventShape, resumed)}
+	return &Assembler{requestID: requestID, attempt: attempt, tokens: reorder.NewBuffer(eventAccessors, resumed)}
 }
 
-// Next is the index of the first token that has not arrived in order.
+// Next returns the index of the first token that has not arrived in order.
 func (a *Assembler) Next() int { return a.tokens.Next() }
 
-// Drops counts what was dropped so far.
+// Drops returns the counts of events dropped so far.
 func (a *Assembler) Drops() Drops {
 	drops := a.tokens.Drops()
 	return Drops{Foreign: a.foreign, Duplicate: a.secondEnds + drops.Duplicate, Overflow: drops.Overflow}
 }
 
-// Accept takes one event. It returns the events that are now ready, in order and without a gap, and the end of the
-// attempt once it is reached. A completed end is reached only when every token before it has arrived.
+// Accept adds one event. It returns the events that are now ready, in order and without gaps, and the end of the
+// attempt once it is reached. A completed end is reached only when all tokens before it have arrived.
 func (a *Assembler) Accept(event peerapi.ExecuteEvent) (ready []peerapi.ExecuteEvent, end *peerapi.ExecuteEvent) {
 	if event.RequestID != a.requestID || event.Attempt != a.attempt {
 		a.foreign++
--- a/internal/answer/ending.go
+++ b/internal/answer/ending.go
@@ -9,37 +9,38 @@
 	"github.com/hillfork/hillfork/internal/peerapi"
 )
 
-// EndKind is the closed set of ways in which one attempt ends.
+// EndKind is the way in which an attempt ended.
 type EndKind uint8
 
-// Ways in which an attempt ends.
+// Values of EndKind.
 const (
-	// EndBroken says that contact was lost, or that the attempt stopped before the whole answer; it may have run.
+	// EndBroken means that contact was lost, or that the attempt stopped before the answer was complete; it may have
+	// run.
 	EndBroken EndKind = iota
-	// EndWhole says that every token of the answer has arrived.
+	// EndWhole means that all tokens of the answer have arrived.
 	EndWhole
-	// EndNotRun says that it is proven that the attempt ran nowhere.
+	// EndNotRun means that the attempt is proven not to have run on any engine.
 	EndNotRun
-	// EndCancelled says that the attempt was cancelled while it ran.
+	// EndCancelled means that the attempt was cancelled while it ran.
 	EndCancelled
 )
 
-// Ending tells how one attempt ended.
+// Ending describes how one attempt ended.
 type Ending struct {
 	Kind   EndKind
 	Reason string
-	// RetryAfter is when the refusing side asks to come back; 0 when it does not say.
+	// RetryAfter is the retry delay named by a refusal, or 0 if there is none.
 	RetryAfter time.Duration
-	// Accepted says that the engine had been given the attempt.
+	// Accepted is set if the attempt had been handed to an engine.
 	Accepted bool
-	// Settled says that the other side told the outcome, in place of losing contact.
+	// Settled is set if the peer reported the outcome, as opposed to lost contact.
 	Settled bool
-	// Err is the error that ended the attempt; nil where the other side told the outcome.
+	// Err is the error that ended the attempt; nil if the peer reported the outcome.
 	Err error
 }
 
-// ProvenNotRun tells whether the error of a call proves that the call had no effect. It holds only for an error that
-// came before any answer.
+// ProvenNotRun reports whether the error of a call proves that the call had no effect. It is valid only for an error
+// that came before any response.
 func ProvenNotRun(err error) bool {
 	if errors.Is(err, peer.ErrNotSent) {
 		return true
@@ -51,7 +52,7 @@
 	return refusal.Code != peer.CodeInternal && refusal.Code != peer.CodeUncertain
 }
 
-// RetryAfter is when the refusing side asks to come back; 0 when it does not say.
+// RetryAfter returns the retry delay named by a refusal, or 0 if there is none.
 func RetryAfter(err error) time.Duration {
 	var refusal *peer.Error
 	if errors.As(err, &refusal) {
@@ -60,7 +61,7 @@
 	return 0
 }
 
-// FromError is the ending of an attempt whose call failed before any answer.
+// FromError returns the ending of an attempt whose call failed before any response.
 func FromError(err error) Ending {
 	ending := Ending{Kind: EndBroken, Reason: err.Error(), RetryAfter: RetryAfter(err), Err: err}
 	if ProvenNotRun(err) {
@@ -69,11 +70,12 @@
 	return ending
 }
 
-// Observe is told of every event of the attempt that is ready, in order; an error from it stops the attempt.
-type Observe func(event peerapi.ExecuteEvent) error
+// EventFunc is called with every ready event of the attempt, in order; an error from it stops the attempt.
+type EventFunc func(event peerapi.ExecuteEvent) error
 
-// Follow reads an attempt's stream to its end, and gives what is ready to deliver. The error is deliver's.
-func Follow(stream peer.ClientStream, assembler *Assembler, load func(float64), deliver Observe) (Ending, error) {
+// Follow reads an attempt's stream to its end. It passes the load of each event to load and the ready events to
+// deliver. A non-nil error is always that of deliver.
+func Follow(stream peer.ClientStream, assembler *Assembler, load func(float64), deliver EventFunc) (Ending, error) {
 	accepted := false
 	resumed := assembler.Next()
 	for {
@@ -95,7 +97,7 @@
 	}
 }
 
-// streamEnd is the ending of a stream that stopped without an outcome.
+// streamEnd returns the ending of a stream that stopped without an outcome.
 func streamEnd(err error, started bool) Ending {
 	if errors.Is(err, io.EOF) {
 		return Ending{Kind: EndBroken, Reason: "stream ended before the answer", Accepted: started, Err: err}
--- a/internal/answer/timeout.go
+++ b/internal/answer/timeout.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	// mostReserve and reserveShare bound what InnerTimeout keeps back.
-	mostReserve  = 250 * time.Millisecond
+	// maxReserve and reserveShare limit the time that InnerTimeout reserves: 1/reserveShare of the remaining time, at
+	// most maxReserve.
+	maxReserve   = 250 * time.Millisecond
 	reserveShare = 4
 )
 
-// InnerTimeout is the timeout that the side which waits for an answer tells the side which gives it. It is shorter than
-// what remains, so that the other side's word on what became of the request, such as that it never left the queue, still
-// arrives in time.
+// InnerTimeout returns the timeout that a caller sends with a request to a peer. It is shorter than the remaining time,
+// so that the peer's report of the outcome, such as that the request never left the queue, still arrives in time.
 func InnerTimeout(remaining time.Duration) time.Duration {
-	return remaining - min(mostReserve, remaining/reserveShare)
+	return remaining - min(maxReserve, remaining/reserveShare)
 }
 
-// AllowsRetry tells whether what remains is enough to ask another engine, and to hear of it.
-func AllowsRetry(remaining time.Duration) bool { return remaining > mostReserve }
+// AllowsRetry reports whether the remaining time is enough to try another engine and receive its response.
+func AllowsRetry(remaining time.Duration) bool { return remaining > maxReserve }
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	// adminTimeout bounds one call of an operator.
+	// adminTimeout limits one administration call.
 	adminTimeout = 30 * time.Second
 )
 
 // adminService is the administration API.
 type adminService struct {
 	gateway *Gateway
-	// began is when the gateway began, the bound of what it can know.
-	began time.Time
+	// startedAt is when the gateway started. It is reported as the read time of the bundle stream until the first
+	// complete read.
+	startedAt time.Time
 }
 
 func newAdminService(gateway *Gateway) *adminService {
-	return &adminService{gateway: gateway, began: time.Now()}
+	return &adminService{gateway: gateway, startedAt: time.Now()}
 }
 
-// ProposeBundle publishes a bundle.
+// ProposeBundle publishes a bundle proposal.
 func (s *adminService) ProposeBundle(
 	ctx context.Context, request *connect.Request[v1.ProposeBundleRequest],
 ) (*connect.Response[v1.ProposeBundleResponse], error) {
@@ -48,7 +49,7 @@
 	}), nil
 }
 
-// SignBundle publishes one partner's signature.
+// SignBundle publishes one partner's signature of a proposal.
 func (s *adminService) SignBundle(
 	ctx context.Context, request *connect.Request[v1.SignBundleRequest],
 ) (*connect.Response[v1.SignBundleResponse], error) {
@@ -72,7 +73,7 @@
 	return connect.NewResponse(&v1.SignBundleResponse{Status: statusMessage(status)}), nil
 }
 
-// GetBundle shows a bundle.
+// GetBundle returns a bundle by digest, by default the one in force.
 func (s *adminService) GetBundle(
 	ctx context.Context, request *connect.Request[v1.GetBundleRequest],
 ) (*connect.Response[v1.GetBundleResponse], error) {
@@ -106,12 +107,12 @@
 	return accepted.Digest
 }
 
-// bundleFreshness tells how long ago this node's follower read the bundle stream to its tail. Nothing is read for it: to
-// watch a node does not change what it knows.
+// bundleFreshness reports how long ago this node's follower read the bundle stream to its tail. It doesn't read the
+// stream itself: observing a node must not change the node's state.
 func (s *adminService) bundleFreshness(bundles BundleAdmin) *v1.Freshness {
 	caughtUp := bundles.CaughtUpAt()
 	if caughtUp.IsZero() {
-		caughtUp = s.began
+		caughtUp = s.startedAt
 	}
 	age := time.Since(caughtUp)
 	return s.freshness(age, age)
@@ -148,7 +149,7 @@
 	return s.gateway.config.BundleAdmin, nil
 }
 
-// bundleError maps the errors of package bundle.
+// bundleError converts the errors of package bundle to Connect errors.
 func bundleError(err error) error {
 	var invalid *bundle.Invalid
 	switch {
@@ -182,7 +183,7 @@
 	}
 }
 
-// DrainNode asks a node to stop as planned.
+// DrainNode requests a planned stop of a node.
 func (s *adminService) DrainNode(
 	ctx context.Context, request *connect.Request[v1.DrainNodeRequest],
 ) (*connect.Response[v1.DrainNodeResponse], error) {
--- a/internal/gateway/admin_lists.go
+++ b/internal/gateway/admin_lists.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// fanOut bounds the nodes asked at once for one list.
-	fanOut = 16
-	// nodeListTimeout bounds the answer of one node; one that takes longer is left out.
+	// maxParallelCalls limits the concurrent node calls of one list request.
+	maxParallelCalls = 16
+	// nodeListTimeout limits the call to one node. A node that doesn't respond in time is left out of the list.
 	nodeListTimeout = 2 * time.Second
-	// stateDead is the state of members that are not asked.
+	// stateDead is the state of members that are not called.
 	stateDead = "dead"
 )
 
-// ListNodes lists the members as this node sees them, each with the bundle version that it says is in force at it: 0 where
-// it did not answer.
+// ListNodes lists the members known to this node. Each has the bundle version that it reports as in force, or 0 if it
+// did not respond.
 func (s *adminService) ListNodes(
 	ctx context.Context, request *connect.Request[v1.ListNodesRequest],
 ) (*connect.Response[v1.ListNodesResponse], error) {
@@ -37,10 +37,10 @@
 	}
 	members := s.sortedMembers()
 	page, next := pageAfter(members, nodeOf, request.Msg.GetPage().GetToken(), size)
-	began := time.Now()
+	start := time.Now()
 	versions := s.bundleVersions(ctx, page)
-	newest, oldest := heardAges(page, time.Now())
-	response := &v1.ListNodesResponse{NextPageToken: next, Freshness: s.freshness(newest, max(oldest, time.Since(began)))}
+	newest, oldest := confirmationAges(page, time.Now())
+	response := &v1.ListNodesResponse{NextPageToken: next, Freshness: s.freshness(newest, max(oldest, time.Since(start)))}
 	for _, member := range page {
 		response.Nodes = append(response.Nodes, &v1.NodeStatus{
 			Id:            member.Node,
@@ -55,16 +55,17 @@
 	return connect.NewResponse(response), nil
 }
 
-// bundleVersions asks members that are not dead for the version in force at them, a bounded number at once.
+// bundleVersions returns the version in force at each member that is not dead and responds. It runs at most
+// maxParallelCalls calls at a time.
 func (s *adminService) bundleVersions(ctx context.Context, members []Member) map[string]uint64 {
-	ask := askList(s, peerapi.MethodNodeStatus, &peerapi.NodeStatus{}, func() (peer.Message, func() uint64) {
+	call := listQuery(s, peerapi.MethodNodeStatus, &peerapi.NodeStatus{}, func() (peer.Message, func() uint64) {
 		response := &peerapi.NodeStatusResult{}
 		return response, func() uint64 { return response.BundleVersion }
 	})
 	versions := make(map[string]uint64, len(members))
-	for batch := range slices.Chunk(withoutDead(members), fanOut) {
-		for _, answer := range askBatch(ctx, batch, ask) {
-			versions[answer.node] = answer.told
+	for batch := range slices.Chunk(withoutDead(members), maxParallelCalls) {
+		for _, result := range queryBatch(ctx, batch, call) {
+			versions[result.node] = result.value
 		}
 	}
 	return versions
@@ -82,7 +83,7 @@
 	return members
 }
 
-func heardAges(members []Member, now time.Time) (newest, oldest time.Duration) {
+func confirmationAges(members []Member, now time.Time) (newest, oldest time.Duration) {
 	first := true
 	for _, member := range members {
 		if member.Heard.IsZero() {
@@ -98,70 +99,72 @@
 	return newest, oldest
 }
 
-// nodeAnswer is what one node told.
-type nodeAnswer[T any] struct {
-	node string
-	told T
+// nodeResponse is the response of one node to a list call.
+type nodeResponse[T any] struct {
+	node  string
+	value T
 }
 
-// askNodes calls nodes after the one named by token, a bounded number at once, until enough is said to be gathered. It
-// returns the answers in the order of the nodes, the token to go on from, and how long ago the first question was asked.
-func askNodes[T any](
+// queryNodes calls the nodes that sort after token, in batches of maxParallelCalls, until enough returns true. It
+// returns the responses in node order, the token of the next page (empty after the last node) and the time elapsed
+// since the first call.
+func queryNodes[T any](
 	ctx context.Context, s *adminService, token string,
-	ask func(ctx context.Context, address string) (T, error), enough func(answers []nodeAnswer[T]) bool,
-) (answers []nodeAnswer[T], next string, took time.Duration) {
-	began := time.Now()
+	call func(ctx context.Context, address string) (T, error), enough func(results []nodeResponse[T]) bool,
+) (results []nodeResponse[T], next string, elapsed time.Duration) {
+	start := time.Now()
 	remaining := slices.DeleteFunc(withoutDead(s.sortedMembers()), func(member Member) bool { return member.Node <= token })
 	for len(remaining) > 0 && ctx.Err() == nil {
-		batch := remaining[:min(fanOut, len(remaining))]
+		batch := remaining[:min(maxParallelCalls, len(remaining))]
 		remaining = remaining[len(batch):]
-		answers = append(answers, askBatch(ctx, batch, ask)...)
-		if enough(answers) && len(remaining) > 0 {
-			return answers, batch[len(batch)-1].Node, time.Since(began)
+		results = append(results, queryBatch(ctx, batch, call)...)
+		if enough(results) && len(remaining) > 0 {
+			return results, batch[len(batch)-1].Node, time.Since(start)
 		}
 	}
-	return answers, "", time.Since(began)
+	return results, "", time.Since(start)
 }
 
-// askBatch asks some nodes at once; those that fail are left out.
-func askBatch[T any](
-	ctx context.Context, batch []Member, ask func(ctx context.Context, address string) (T, error),
-) []nodeAnswer[T] {
+// queryBatch calls the nodes of a batch concurrently. Nodes whose call fails are left out. The responses are sorted by
+// node.
+func queryBatch[T any](
+	ctx context.Context, batch []Member, call func(ctx context.Context, address string) (T, error),
+) []nodeResponse[T] {
 	var group errgroup.Group
 	var mu sync.Mutex
-	var answers []nodeAnswer[T]
+	var results []nodeResponse[T]
 	for _, member := range batch {
 		group.Go(func() error {
 			ctx, cancel := context.WithTimeout(ctx, nodeListTimeout)
 			defer cancel()
-			told, err := ask(ctx, member.PeerAddress)
+			result, err := call(ctx, member.PeerAddress)
 			if err != nil {
 				return nil
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			answers = append(answers, nodeAnswer[T]{member.Node, told})
+			results = append(results, nodeResponse[T]{member.Node, result})
 			return nil
 		})
 	}
 	_ = group.Wait()
-	slices.SortFunc(answers, func(a, b nodeAnswer[T]) int { return cmp.Compare(a.node, b.node) })
-	return answers
+	slices.SortFunc(results, func(a, b nodeResponse[T]) int { return cmp.Compare(a.node, b.node) })
+	return results
 }
 
-// askList calls a list method of one node.
-func askList[T any](
+// listQuery returns a function that calls a list method of one node.
+func listQuery[T any](
 	s *adminService, method string, request peer.Message, newResponse func() (peer.Message, func() T),
 ) func(ctx context.Context, address string) (T, error) {
 	return func(ctx context.Context, address string) (T, error) {
-		response, told := newResponse()
+		response, result := newResponse()
 		err := s.gateway.config.Nodes.Call(ctx, address, method, request, response)
-		return told(), err
+		return result(), err
 	}
 }
 
-// ListEngines asks the nodes for the engines that they dispatch for. A page ends with a whole batch of nodes, and so may
-// hold more than its size.
+// ListEngines collects from the nodes the engines that they dispatch for. A page always ends with a complete batch of
+// nodes, so it may exceed the requested size.
 func (s *adminService) ListEngines(
 	ctx context.Context, request *connect.Request[v1.ListEnginesRequest],
 ) (*connect.Response[v1.ListEnginesResponse], error) {
@@ -171,26 +174,26 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
-	ask := askList(s, peerapi.MethodListEngines, &peerapi.ListEngines{}, func() (peer.Message, func() []peerapi.EngineInfo) {
+	call := listQuery(s, peerapi.MethodListEngines, &peerapi.ListEngines{}, func() (peer.Message, func() []peerapi.EngineInfo) {
 		response := &peerapi.ListEnginesResult{}
 		return response, func() []peerapi.EngineInfo { return response.Engines }
 	})
-	answers, next, took := askNodes(ctx, s, request.Msg.GetPage().GetToken(), ask, atLeast[peerapi.EngineInfo](size))
-	response := &v1.ListEnginesResponse{NextPageToken: next, Freshness: s.freshness(0, took)}
-	for _, told := range answers {
-		for _, engine := range told.told {
-			response.Engines = append(response.Engines, engineMessage(told.node, engine))
+	results, next, elapsed := queryNodes(ctx, s, request.Msg.GetPage().GetToken(), call, hasMinItems[peerapi.EngineInfo](size))
+	response := &v1.ListEnginesResponse{NextPageToken: next, Freshness: s.freshness(0, elapsed)}
+	for _, result := range results {
+		for _, engine := range result.value {
+			response.Engines = append(response.Engines, engineMessage(result.node, engine))
 		}
 	}
 	slices.SortFunc(response.Engines, func(a, b *v1.EngineInfo) int { return strings.Compare(a.GetId(), b.GetId()) })
 	return connect.NewResponse(response), nil
 }
 
-func atLeast[T any](size int) func(answers []nodeAnswer[[]T]) bool {
-	return func(answers []nodeAnswer[[]T]) bool {
+func hasMinItems[T any](size int) func(results []nodeResponse[[]T]) bool {
+	return func(results []nodeResponse[[]T]) bool {
 		count := 0
-		for _, told := range answers {
-			count += len(told.told)
+		for _, result := range results {
+			count += len(result.value)
 		}
 		return count >= size
 	}
@@ -210,8 +213,8 @@
 	}
 }
 
-// ListShards asks the nodes for the shards that they own. A page ends with a whole batch of nodes, and so may hold more
-// than its size.
+// ListShards collects from the nodes the shards that they own. A page always ends with a complete batch of nodes, so it
+// may exceed the requested size.
 func (s *adminService) ListShards(
 	ctx context.Context, request *connect.Request[v1.ListShardsRequest],
 ) (*connect.Response[v1.ListShardsResponse], error) {
@@ -221,16 +224,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
-	ask := askList(s, peerapi.MethodListShards, &peerapi.ListShards{}, func() (peer.Message, func() []peerapi.ShardInfo) {
+	call := listQuery(s, peerapi.MethodListShards, &peerapi.ListShards{}, func() (peer.Message, func() []peerapi.ShardInfo) {
 		response := &peerapi.ListShardsResult{}
 		return response, func() []peerapi.ShardInfo { return response.Shards }
 	})
-	answers, next, took := askNodes(ctx, s, request.Msg.GetPage().GetToken(), ask, atLeast[peerapi.ShardInfo](size))
-	response := &v1.ListShardsResponse{NextPageToken: next, Freshness: s.freshness(0, took)}
-	for _, told := range answers {
-		for _, info := range told.told {
+	results, next, elapsed := queryNodes(ctx, s, request.Msg.GetPage().GetToken(), call, hasMinItems[peerapi.ShardInfo](size))
+	response := &v1.ListShardsResponse{NextPageToken: next, Freshness: s.freshness(0, elapsed)}
+	for _, result := range results {
+		for _, info := range result.value {
 			response.Shards = append(response.Shards, &v1.ShardInfo{
-				Name: info.Name, Owner: told.node, Epoch: info.Epoch, Offset: info.Offset,
+				Name: info.Name, Owner: result.node, Epoch: info.Epoch, Offset: info.Offset,
 			})
 		}
 	}
@@ -238,7 +241,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// ListSteps asks the owners of a workload's shards for its steps, in their order.
+// ListSteps lists the steps of a workload in step order, as reported by the owners of its shards.
 func (s *adminService) ListSteps(
 	ctx context.Context, request *connect.Request[v1.ListStepsRequest],
 ) (*connect.Response[v1.ListStepsResponse], error) {
@@ -255,14 +258,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	steps, err := s.stepsOf(ctx, request.Msg.GetWorkload())
 	if err != nil {
 		return nil, err
 	}
 	begin := min(int(after), len(steps))
 	end := min(begin+size, len(steps))
-	response := &v1.ListStepsResponse{Freshness: s.freshness(0, time.Since(began))}
+	response := &v1.ListStepsResponse{Freshness: s.freshness(0, time.Since(start))}
 	if end < len(steps) {
 		response.NextPageToken = formatNumberToken(int64(end))
 	}
@@ -275,13 +278,13 @@
 func (s *adminService) stepsOf(ctx context.Context, workload string) ([]peerapi.StepInfo, error) {
 	var steps []peerapi.StepInfo
 	for shard := range stepledger.ShardsPerWorkload {
-		var told peerapi.ListStepsResult
+		var result peerapi.ListStepsResult
 		err := s.gateway.config.Owners.CallOwner(ctx, stepledger.StreamName(workload, shard), s.gateway.preference(),
-			peerapi.MethodListSteps, &peerapi.ListSteps{Workload: workload, Shard: shard}, &told, true)
+			peerapi.MethodListSteps, &peerapi.ListSteps{Workload: workload, Shard: shard}, &result, true)
 		if err != nil {
 			return nil, connectError(err)
 		}
-		steps = append(steps, told.Steps...)
+		steps = append(steps, result.Steps...)
 	}
 	slices.SortFunc(steps, func(a, b peerapi.StepInfo) int { return cmp.Compare(a.Step, b.Step) })
 	return steps, nil
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Times that refused callers are told to stay away.
+// Retry delays sent to refused callers.
 const (
 	drainRetryAfter    = 100 * time.Millisecond
 	overloadRetryAfter = time.Second
 	notReadyRetryAfter = time.Second
 )
 
-// refusal says why work was refused before any of it ran.
+// refusal is the reason why a call was refused before it had any effect.
 type refusal struct {
 	reason     string
 	retryAfter time.Duration
 }
 
-// admission counts the calls under way and refuses those beyond a bound, or all while the node drains.
+// admission counts the calls in flight. It refuses calls over a limit, and all calls while the node drains.
 type admission struct {
 	mu       sync.Mutex
 	inFlight map[string]int
 	total    int
 	draining bool
-	// idle is closed once the gateway drains and nothing is under way.
+	// idle is closed once the gateway drains and no call is in flight.
 	idle chan struct{}
 }
 
@@ -33,7 +33,8 @@
 	return &admission{inFlight: make(map[string]int), idle: make(chan struct{})}
 }
 
-// enter admits one call of a workload; leave must be called at its end. A refusal is not nil when the call may not run.
+// enter admits one call of a workload; the caller must call leave when the call ends. If the call is refused, leave is
+// nil and refused is not.
 func (a *admission) enter(workload string, limit int) (leave func(), refused *refusal) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -59,7 +60,7 @@
 	a.closeIfIdle()
 }
 
-// closeIfIdle needs the lock.
+// closeIfIdle closes idle if the gateway drains and no call is in flight. The caller must hold mu.
 func (a *admission) closeIfIdle() {
 	if !a.draining || a.total > 0 {
 		return
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -9,31 +9,31 @@
 	"github.com/hillfork/hillfork/internal/peerapi"
 )
 
-// answering answers every attempt with the same events.
-type answering struct {
+// repeatingOwners answers every attempt with the same events.
+type repeatingOwners struct {
 	fakeOwners
 	events []peerapi.ExecuteEvent
 }
 
-func (a *answering) refill() { a.scripts = []script{{events: a.events}} }
+func (a *repeatingOwners) resetScripts() { a.scripts = []script{{events: a.events}} }
 
-func newAnswering() *answering {
-	owners := &answering{}
+func newRepeatingOwners() *repeatingOwners {
+	owners := &repeatingOwners{}
 	for i := range 16 {
 		owners.events = append(owners.events, tokens(4*i, 1, 2, 3, 4))
 	}
-	owners.events = append(owners.events, whole(64))
+	owners.events = append(owners.events, completedEnd(64))
 	return owners
 }
 
-// BenchmarkExecute measures the gateway's own work for one request: 16 events of 4 tokens, from one of 300 engines, without
-// sockets.
+// BenchmarkExecute measures the gateway's own cost of one request without sockets: 16 events of 4 tokens, one of 300
+// engines.
 func BenchmarkExecute(b *testing.B) {
-	owners := newAnswering()
+	owners := newRepeatingOwners()
 	gateway := newTestGateway(&owners.fakeOwners, 300)
 	b.ReportAllocs()
 	for b.Loop() {
-		owners.refill()
+		owners.resetScripts()
 		owners.requests = owners.requests[:0]
 		if end, _, err := run(b.Context(), gateway, searchRequest()); err != nil || end.outcome != completed {
 			b.Fatal(end, err)
@@ -41,14 +41,14 @@
 	}
 }
 
-// BenchmarkExecuteOverConnect measures the same through a loopback socket, one request after the other.
+// BenchmarkExecuteOverConnect measures the same request over a loopback socket, with sequential requests.
 func BenchmarkExecuteOverConnect(b *testing.B) {
-	owners := newAnswering()
+	owners := newRepeatingOwners()
 	client, url := serve(b, newTestGateway(&owners.fakeOwners, 300))
 	requests := hillforkv1connect.NewRequestServiceClient(client, url)
 	b.ReportAllocs()
 	for b.Loop() {
-		owners.refill()
+		owners.resetScripts()
 		owners.requests = owners.requests[:0]
 		stream, err := requests.Execute(b.Context(), connect.NewRequest(searchRequest()))
 		if err != nil {
--- a/internal/gateway/engine_router.go
+++ b/internal/gateway/engine_router.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// hintSlots is the number of slots that a load, told as a ratio, is scaled to.
+	// hintSlots is the slot count to which loads, received as a ratio, are scaled.
 	hintSlots = 8
-	// hintHalfLife is the time in which a load hint loses half of its weight.
+	// hintHalfLife is the half-life of a load hint.
 	hintHalfLife = 2 * time.Second
-	// failurePenalty is the load taken for an engine just after an attempt on it broke.
+	// failurePenalty is the load assumed for an engine right after a failed attempt.
 	failurePenalty = 4.0
-	// enginePrefix starts the key of an engine's owner.
+	// enginePrefix is the prefix of the key under which an engine's owner is looked up.
 	enginePrefix = "engines/"
 )
 
-// Picker chooses an engine; it is pure.
+// Picker chooses an engine for a request. Pick must be a pure function.
 type Picker interface {
 	Pick(snapshot policy.Snapshot, request policy.Request) (engine string, ok bool)
 }
 
-// PolicyPicker chooses by policy.PickEngine.
+// PolicyPicker is a Picker that uses policy.PickEngine.
 type PolicyPicker struct {
-	// LeastLoaded ignores what prompts have in common.
+	// LeastLoaded disables prompt prefix affinity.
 	LeastLoaded bool
 }
 
-// Pick chooses an engine; false where no engine may run the request.
+// Pick chooses an engine. It returns false if no engine may run the request.
 func (p PolicyPicker) Pick(snapshot policy.Snapshot, request policy.Request) (string, bool) {
 	if p.LeastLoaded {
 		request.PrefixHash = 0
@@ -44,7 +44,8 @@
 	return policy.PickEngine(snapshot, request)
 }
 
-// EngineRouter chooses engines for requests and opens streams to their owners. It learns loads from the events that pass.
+// EngineRouter chooses engines for requests and opens streams to the owners of the engines. It learns engine loads from
+// the events that the gateway relays.
 type EngineRouter struct {
 	self    placement.Member
 	owners  OwnerCaller
@@ -65,7 +66,7 @@
 	}
 }
 
-// pick chooses an engine that is not excluded.
+// pick chooses an engine that is not excluded. It returns false if there is none.
 func (r *EngineRouter) pick(workload *bundle.Workload, prompt []uint32, excluded []string) (platform.Machine, bool) {
 	var machines []platform.Machine
 	for _, pool := range workload.Pools {
@@ -110,7 +111,7 @@
 	}
 }
 
-// open sends the request to the owner of the engine. The stream must be closed.
+// open sends the request to the owner of the engine. The caller must close the stream.
 func (r *EngineRouter) open(
 	ctx context.Context, engine platform.Machine, request *peerapi.Execute,
 ) (peer.ClientStream, error) {
@@ -120,11 +121,11 @@
 	if err != nil {
 		return nil, err
 	}
-	r.hints.sent(engine.ID)
-	return &countedStream{ClientStream: stream, done: func() { r.hints.ended(engine.ID) }}, nil
+	r.hints.streamOpened(engine.ID)
+	return &countedStream{ClientStream: stream, done: func() { r.hints.streamClosed(engine.ID) }}, nil
 }
 
-// Dispatch fills requestledger.Dispatcher.
+// Dispatch implements requestledger.Dispatcher.
 func (r *EngineRouter) Dispatch(
 	ctx context.Context, request peerapi.Execute, excluded []string,
 ) (engine string, stream peer.ClientStream, err error) {
@@ -144,7 +145,7 @@
 	return machine.ID, stream, err
 }
 
-// countedStream counts a stream as ended once it is closed.
+// countedStream calls done when the stream is first closed.
 type countedStream struct {
 	peer.ClientStream
 	once sync.Once
--- a/internal/gateway/errors.go
+++ b/internal/gateway/errors.go
@@ -12,15 +12,15 @@
 	"github.com/hillfork/hillfork/internal/peer"
 )
 
-// Headers that tell a refused client when to come back.
+// Headers with the delay after which a refused client may retry.
 const (
-	// RetryAfterHeader is in whole seconds, rounded up.
+	// RetryAfterHeader is the delay in whole seconds, rounded up.
 	RetryAfterHeader = "Retry-After"
-	// RetryAfterMillisHeader is in milliseconds.
+	// RetryAfterMillisHeader is the delay in milliseconds.
 	RetryAfterMillisHeader = "Retry-After-Millis"
 )
 
-// connectCodes maps the refusals of peers; what is absent is CodeInternal.
+// connectCodes maps error codes of peers to Connect codes. Codes without an entry become CodeInternal.
 var connectCodes = map[peer.Code]connect.Code{
 	peer.CodeNotOwner:   connect.CodeUnavailable,
 	peer.CodeNotReady:   connect.CodeUnavailable,
@@ -31,7 +31,7 @@
 	peer.CodeUncertain:  connect.CodeUnavailable,
 }
 
-// connectError turns the error of a peer call into one that crosses to the client.
+// connectError converts the error of a peer call to the error that is returned to the client.
 func connectError(err error) error {
 	var refused *peer.Error
 	switch {
--- a/internal/gateway/execute_safe.go
+++ b/internal/gateway/execute_safe.go
@@ -13,36 +13,36 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// maxAttempts bounds the attempts at one safe request.
+// maxAttempts limits the attempts of one safe request.
 const maxAttempts = 4
 
-// errWrongVersion says that an engine answered with weights that the bundle does not accept.
+// errWrongVersion is returned if an engine answered with weights that the bundle does not accept.
 var errWrongVersion = errors.New("engine answered with a weight version that the bundle does not accept")
 
-// execution is one safe request under way.
+// execution is one safe request in flight.
 type execution struct {
 	gateway  *Gateway
 	workload *bundle.Workload
 	message  *v1.ExecuteRequest
 	send     sendPart
 	request  peerapi.Execute
-	// delivered are the tokens that the caller has; another engine resumes after them.
+	// delivered are the tokens already sent to the caller; the next attempt resumes after them.
 	delivered []uint32
 	excluded  []string
 	history   history
 }
 
-// history is what the attempts so far prove.
+// history summarizes the failed attempts of a request.
 type history struct {
 	attempts int
-	// mayHaveRun says that some attempt is not proven not to have run.
+	// mayHaveRun is set once an attempt failed without proof that it did not run.
 	mayHaveRun bool
 	reason     string
-	// retryAfter is the shortest time that a refusing engine asked to wait.
+	// retryAfter is the shortest retry delay that an engine's refusal named.
 	retryAfter time.Duration
 }
 
-// add takes in an attempt that gave no whole answer.
+// add records an attempt that gave no complete answer.
 func (h *history) add(ending answer.Ending) {
 	h.attempts++
 	h.reason = ending.Reason
@@ -54,12 +54,12 @@
 	}
 }
 
-// giveUp is the end of a request that is not tried again. It is said not to have run only when every attempt is proven
-// not to have run.
-func (h *history) giveUp(why string) final {
-	end := final{outcome: v1.Outcome_OUTCOME_NOT_RUN, reason: why, retryAfter: h.retryAfter}
+// finalResult is the result of a request that is not retried. Its outcome is OUTCOME_NOT_RUN only if every attempt is
+// proven not to have run.
+func (h *history) finalResult(reason string) requestResult {
+	end := requestResult{outcome: v1.Outcome_OUTCOME_NOT_RUN, reason: reason, retryAfter: h.retryAfter}
 	if h.reason != "" {
-		end.reason = why + "; last attempt: " + h.reason
+		end.reason = reason + "; last attempt: " + h.reason
 	}
 	if h.mayHaveRun {
 		end.outcome = v1.Outcome_OUTCOME_UNKNOWN
@@ -72,7 +72,7 @@
 
 func (s *requestService) executeSafe(
 	ctx context.Context, workload *bundle.Workload, message *v1.ExecuteRequest, send sendPart,
-) (final, error) {
+) (requestResult, error) {
 	s.gateway.budgets.earn(workload.Name, workload.Limits.RetryRatio)
 	running := &execution{
 		gateway:  s.gateway,
@@ -86,23 +86,23 @@
 	return end, err
 }
 
-// run tries engines until one has given the rest of the answer. It never waits: when there is nothing left to try, the
-// caller is told at once when to come back. The error is the caller's connection's.
-func (e *execution) run(ctx context.Context) (final, error) {
+// run tries engines until the answer is complete. It never waits: when there is nothing left to try, it returns at once
+// with a retry delay. The error is that of sending to the caller.
+func (e *execution) run(ctx context.Context) (requestResult, error) {
 	for {
-		engine, why, ok := e.next(ctx)
+		engine, reason, ok := e.next(ctx)
 		if !ok {
-			return e.history.giveUp(why), nil
+			return e.history.finalResult(reason), nil
 		}
 		ending, err := e.attempt(ctx, engine)
 		if err != nil {
-			return final{}, err
+			return requestResult{}, err
 		}
 		switch ending.Kind {
 		case answer.EndWhole:
-			return final{outcome: v1.Outcome_OUTCOME_COMPLETED}, nil
+			return requestResult{outcome: v1.Outcome_OUTCOME_COMPLETED}, nil
 		case answer.EndCancelled:
-			return final{outcome: v1.Outcome_OUTCOME_CANCELLED, reason: ending.Reason}, nil
+			return requestResult{outcome: v1.Outcome_OUTCOME_CANCELLED, reason: ending.Reason}, nil
 		}
 		e.history.add(ending)
 		e.excluded = append(e.excluded, engine.ID)
@@ -111,8 +111,8 @@
 	}
 }
 
-// next chooses the engine of the next attempt, or tells why there is none.
-func (e *execution) next(ctx context.Context) (engine platform.Machine, why string, ok bool) {
+// next chooses the engine of the next attempt. If there is none, it returns the reason and false.
+func (e *execution) next(ctx context.Context) (engine platform.Machine, reason string, ok bool) {
 	if ctx.Err() != nil {
 		return engine, "the deadline has passed", false
 	}
@@ -132,7 +132,7 @@
 	return engine, "", true
 }
 
-// attempt relays what one engine answers. The error is the caller's connection's.
+// attempt runs one attempt and relays its events. The error is that of sending to the caller.
 func (e *execution) attempt(ctx context.Context, engine platform.Machine) (answer.Ending, error) {
 	e.countRetry()
 	ctx, cancel := context.WithCancel(ctx)
@@ -147,9 +147,9 @@
 	}
 	defer func() { _ = stream.Close() }()
 	assembler := answer.NewAssembler(request.RequestID, request.Attempt, len(e.delivered))
-	hear := func(load float64) { e.gateway.router.hints.heard(engine.ID, load, time.Now()) }
-	ending, err := answer.Follow(stream, assembler, hear, e.deliver)
-	e.gateway.metrics.drops(assembler.Drops())
+	reportLoad := func(load float64) { e.gateway.router.hints.reported(engine.ID, load, time.Now()) }
+	ending, err := answer.Follow(stream, assembler, reportLoad, e.deliver)
+	e.gateway.metrics.countDrops(assembler.Drops())
 	if errors.Is(err, errWrongVersion) {
 		return ending, nil
 	}
@@ -167,12 +167,13 @@
 	e.gateway.metrics.retries.WithLabelValues(e.workload.Name, kind).Inc()
 }
 
-// deliver gives one part to the caller.
+// deliver sends one part of the answer to the caller. It returns errWrongVersion for weights that the bundle does not
+// accept.
 func (e *execution) deliver(event peerapi.ExecuteEvent) error {
 	if !accepts(e.workload, event.Version) {
 		return errWrongVersion
 	}
-	if err := e.send(part(e.message, event)); err != nil {
+	if err := e.send(responsePart(e.message, event)); err != nil {
 		return err
 	}
 	e.delivered = append(e.delivered, event.Tokens...)
--- a/internal/gateway/execute_test.go
+++ b/internal/gateway/execute_test.go
@@ -24,15 +24,16 @@
 	cancelled = v1.Outcome_OUTCOME_CANCELLED
 )
 
-func full(retryAfter time.Duration) script {
-	return script{refuse: &peer.Error{Code: peer.CodeOverloaded, Message: "full", RetryAfter: retryAfter}}
+func overloaded(retryAfter time.Duration) script {
+	return script{openErr: &peer.Error{Code: peer.CodeOverloaded, Message: "full", RetryAfter: retryAfter}}
 }
 
-// TestSafeRequest covers what engines and their owners do to a safe request, and what its caller is told.
+// TestSafeRequest checks the outcome, tokens and number of attempts of a safe request for responses and failures of
+// engines and their owners.
 func TestSafeRequest(t *testing.T) {
 	answer := []uint32{1, 2, 3, 4, 5}
-	rest := script{events: []peerapi.ExecuteEvent{tokens(2, 3, 4, 5), whole(5)}}
-	all := script{events: []peerapi.ExecuteEvent{accepted, tokens(0, 1, 2, 3), tokens(3, 4, 5), whole(5)}}
+	rest := script{events: []peerapi.ExecuteEvent{tokens(2, 3, 4, 5), completedEnd(5)}}
+	all := script{events: []peerapi.ExecuteEvent{accepted, tokens(0, 1, 2, 3), tokens(3, 4, 5), completedEnd(5)}}
 	wrong := tokens(2, 9)
 	wrong.Version = 2
 	foreign := tokens(0, 66)
@@ -50,25 +51,25 @@
 	}{
 		{"whole answer", 2, []script{all}, completed, answer, 1},
 		{"end carries the last tokens", 2, []script{{events: []peerapi.ExecuteEvent{{Tokens: answer, Version: 5, Outcome: peerapi.OutcomeCompleted}}}}, completed, answer, 1},
-		{"another request's and another attempt's events", 2, []script{{events: []peerapi.ExecuteEvent{foreign, tokens(0, 1, 2), late, tokens(2, 3, 4, 5), whole(5)}}}, completed, answer, 1},
-		{"duplicate events", 2, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1, 2), tokens(0, 1, 2), tokens(1, 2, 3), tokens(3, 4, 5), whole(5)}}}, completed, answer, 1},
-		{"reordered events, the end first", 2, []script{{events: []peerapi.ExecuteEvent{whole(5), tokens(4, 5), tokens(2, 3), tokens(3, 4), tokens(0, 1, 2)}}}, completed, answer, 1},
-		{"an event is missing", 2, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1, 2), tokens(4, 5), whole(5)}}, rest}, completed, answer, 2},
-		{"answer is longer than its end says", 1, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1, 2), whole(1)}}}, unknown, []uint32{1, 2}, 1},
-		{"refused, then run by another engine", 2, []script{full(0), all}, completed, answer, 2},
-		{"lost before the first token", 2, []script{{refuse: peer.ErrLost}, all}, completed, answer, 2},
-		{"broken off, resumed by another engine", 2, []script{{events: []peerapi.ExecuteEvent{accepted, tokens(0, 1, 2)}, err: peer.ErrLost}, rest}, completed, answer, 2},
+		{"another request's and another attempt's events", 2, []script{{events: []peerapi.ExecuteEvent{foreign, tokens(0, 1, 2), late, tokens(2, 3, 4, 5), completedEnd(5)}}}, completed, answer, 1},
+		{"duplicate events", 2, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1, 2), tokens(0, 1, 2), tokens(1, 2, 3), tokens(3, 4, 5), completedEnd(5)}}}, completed, answer, 1},
+		{"reordered events, the end first", 2, []script{{events: []peerapi.ExecuteEvent{completedEnd(5), tokens(4, 5), tokens(2, 3), tokens(3, 4), tokens(0, 1, 2)}}}, completed, answer, 1},
+		{"an event is missing", 2, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1, 2), tokens(4, 5), completedEnd(5)}}, rest}, completed, answer, 2},
+		{"answer is longer than its end says", 1, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1, 2), completedEnd(1)}}}, unknown, []uint32{1, 2}, 1},
+		{"refused, then run by another engine", 2, []script{overloaded(0), all}, completed, answer, 2},
+		{"lost before the first token", 2, []script{{openErr: peer.ErrLost}, all}, completed, answer, 2},
+		{"lost after the first tokens, resumed by another engine", 2, []script{{events: []peerapi.ExecuteEvent{accepted, tokens(0, 1, 2)}, err: peer.ErrLost}, rest}, completed, answer, 2},
 		{"stream ends without an outcome", 2, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1, 2)}}, rest}, completed, answer, 2},
 		{"weights that the bundle does not accept", 2, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1, 2), wrong}}, rest}, completed, answer, 2},
 		{"cancelled", 2, []script{{events: []peerapi.ExecuteEvent{accepted, {Outcome: peerapi.OutcomeCancelled}}}}, cancelled, nil, 1},
 		{"no engine", 0, nil, notRunEnd, nil, 0},
-		{"all refuse", 3, []script{full(0), full(0), {refuse: peer.ErrNotSent}}, notRunEnd, nil, 3},
+		{"all refuse", 3, []script{overloaded(0), overloaded(0), {openErr: peer.ErrNotSent}}, notRunEnd, nil, 3},
 		{"engine says not run", 1, []script{{events: []peerapi.ExecuteEvent{accepted, {Outcome: peerapi.OutcomeNotRun}}}}, notRunEnd, nil, 1},
 		{"engine says not run after tokens", 1, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1), {Index: 1, Outcome: peerapi.OutcomeNotRun}}}}, unknown, []uint32{1}, 1},
 		{"refused after it was accepted", 1, []script{refusedLate}, unknown, nil, 1},
-		{"one lost, the others refuse", 3, []script{{refuse: peer.ErrLost}, full(0), full(0)}, unknown, nil, 3},
-		{"internal error proves nothing", 1, []script{{refuse: &peer.Error{Code: peer.CodeInternal}}}, unknown, nil, 1},
-		{"uncertain error proves nothing", 1, []script{{refuse: &peer.Error{Code: peer.CodeUncertain}}}, unknown, nil, 1},
+		{"one lost, the others refuse", 3, []script{{openErr: peer.ErrLost}, overloaded(0), overloaded(0)}, unknown, nil, 3},
+		{"internal error proves nothing", 1, []script{{openErr: &peer.Error{Code: peer.CodeInternal}}}, unknown, nil, 1},
+		{"uncertain error proves nothing", 1, []script{{openErr: &peer.Error{Code: peer.CodeUncertain}}}, unknown, nil, 1},
 		{"engine says unknown", 1, []script{{events: []peerapi.ExecuteEvent{{Outcome: peerapi.OutcomeUnknown}}}}, unknown, nil, 1},
 		{"engine hangs", 1, []script{{events: []peerapi.ExecuteEvent{accepted}, hang: true}}, unknown, nil, 1},
 		{"attempts are bounded", 9, nil, notRunEnd, nil, maxAttempts},
@@ -91,32 +92,32 @@
 	}
 }
 
-// checkAttempts checks that no two attempts share an engine or a number, and that time budgets only shrink.
+// checkAttempts checks that no two attempts share an engine or an attempt number, and that timeouts never increase.
 func checkAttempts(t *testing.T, requests []peerapi.Execute) {
 	t.Helper()
 	var engines []string
 	for i, request := range requests {
 		if slices.Contains(engines, request.Engine) {
-			t.Errorf("engine %s was asked twice", request.Engine)
+			t.Errorf("engine %s received two attempts", request.Engine)
 		}
 		engines = append(engines, request.Engine)
 		if int(request.Attempt) != i+1 || request.RequestID != requests[0].RequestID {
 			t.Errorf("attempt %d is %s/%d", i+1, request.RequestID, request.Attempt)
 		}
 		if i > 0 && request.TimeoutMillis > requests[i-1].TimeoutMillis {
-			t.Error("the time budget grew")
+			t.Error("the timeout increased")
 		}
 		if request.RequestID == "r" {
-			t.Error("the caller's own id was used towards an engine")
+			t.Error("the caller's own id was sent to an engine")
 		}
 	}
 }
 
-func TestResumeCarriesWhatTheCallerHas(t *testing.T) {
+func TestResumeIncludesDeliveredTokens(t *testing.T) {
 	is := is.New(t)
 	owners := &fakeOwners{scripts: []script{
-		{events: []peerapi.ExecuteEvent{tokens(0, 1, 2), tokens(3, 4)}, err: peer.ErrLost}, // 3 never came, so 4 is not delivered
-		{events: []peerapi.ExecuteEvent{tokens(2, 3, 4), whole(4)}},
+		{events: []peerapi.ExecuteEvent{tokens(0, 1, 2), tokens(3, 4)}, err: peer.ErrLost}, // token 3 is missing, so token 4 is not delivered
+		{events: []peerapi.ExecuteEvent{tokens(2, 3, 4), completedEnd(4)}},
 	}}
 	_, got, err := run(t.Context(), newTestGateway(owners, 2), searchRequest())
 	is.NoErr(err)
@@ -124,45 +125,42 @@
 	is.Equal(owners.requests[1].Resume, []uint32{1, 2})
 }
 
-// TestGivenUpIsAnsweredAtOnce checks that no time passes between the last refusal and the answer, which tells the shortest
-// time after which an engine wants to be asked again.
-func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
+func TestAbandonedRequestReturnsWithoutDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		began := time.Now()
-		owners := &fakeOwners{scripts: []script{full(3 * time.Second), full(2 * time.Second)}}
+		start := time.Now()
+		owners := &fakeOwners{scripts: []script{overloaded(3 * time.Second), overloaded(2 * time.Second)}}
 		end, _, err := run(t.Context(), newTestGateway(owners, 2), searchRequest())
 		is.NoErr(err)
 		is.Equal(end.outcome, notRunEnd)
 		is.Equal(end.retryAfter, 2*time.Second)
-		is.Equal(time.Since(began), time.Duration(0))
+		is.Equal(time.Since(start), time.Duration(0))
 	})
 }
 
-// TestQueuedUntilTheDeadlineIsNotRun checks that a request which never left the queue is said not to have run, in time.
-func TestQueuedUntilTheDeadlineIsNotRun(t *testing.T) {
+func TestRequestQueuedUntilDeadlineIsNotRun(t *testing.T) {
 	for _, unsafe := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			began := time.Now()
+			start := time.Now()
 			request := searchRequest()
 			request.UnsafeToRepeat = unsafe
 			request.TimeoutMillis = 4000
 			owners := &fakeOwners{scripts: []script{{queued: true}}}
 			owners.resolve = func(_ context.Context, _, response peer.Message) error {
-				time.Sleep(travelTime)
+				time.Sleep(networkDelay)
 				response.(*peerapi.ResolveResult).Outcome = peerapi.OutcomeNotRun
 				return nil
 			}
 			end, _, err := run(t.Context(), newTestGateway(owners, 1), request)
 			is.NoErr(err)
 			is.Equal(end.outcome, notRunEnd)
-			is.True(time.Since(began) < 4*time.Second)
+			is.True(time.Since(start) < 4*time.Second)
 		})
 	}
 }
 
-// TestRetryBudget lets every attempt fail, and bounds the retries by the workload's ratio.
+// TestRetryBudget checks that the retries stay within the workload's ratio if every attempt fails.
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	owners := &fakeOwners{}
@@ -174,13 +172,14 @@
 	}
 	retries := len(owners.requests) - requests
 	is.True(retries <= retryBurst+requests/2) // ratio 0.5
-	is.True(retries >= requests/2)            // and the budget is used
+	is.True(retries >= requests/2)            // the budget is used up
 
 	gateway.budgets.earn("none", 0)
-	is.True(!gateway.budgets.spend("none", 0)) // a workload without a ratio makes no retries
+	is.True(!gateway.budgets.spend("none", 0)) // a workload with ratio 0 makes no retries
 }
 
-// TestUnsafeRequest covers what the request ledger answers, and what is asked of it after contact was lost.
+// TestUnsafeRequest checks the outcome of an unsafe request for the answers of the request ledger, and the query for
+// the outcome after contact was lost.
 func TestUnsafeRequest(t *testing.T) {
 	answer := []uint32{1, 2, 3}
 	settled := func(outcome peerapi.Outcome, tokens ...uint32) func(context.Context, peer.Message, peer.Message) error {
@@ -195,8 +194,8 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	lost := script{refuse: peer.ErrLost}
-	uncertain := script{refuse: &peer.Error{Code: peer.CodeUncertain}}
+	lost := script{openErr: peer.ErrLost}
+	uncertain := script{openErr: &peer.Error{Code: peer.CodeUncertain}}
 	broken := script{events: []peerapi.ExecuteEvent{tokens(0, 1, 2)}, err: peer.ErrLost}
 	cases := []struct {
 		name    string
@@ -206,17 +205,17 @@
 		got     []uint32
 		code    connect.Code
 	}{
-		{"whole answer", script{events: []peerapi.ExecuteEvent{tokens(0, 1, 2, 3), whole(3)}}, nil, completed, answer, 0},
+		{"whole answer", script{events: []peerapi.ExecuteEvent{tokens(0, 1, 2, 3), completedEnd(3)}}, nil, completed, answer, 0},
 		{"recorded as not run", script{events: []peerapi.ExecuteEvent{{Outcome: peerapi.OutcomeNotRun}}}, nil, notRunEnd, nil, 0},
-		{"recorded as unknown is not asked again", script{events: []peerapi.ExecuteEvent{{Outcome: peerapi.OutcomeUnknown}}}, nil, unknown, nil, 0},
-		{"refused for load", full(time.Second), nil, notRunEnd, nil, 0},
-		{"never sent", script{refuse: peer.ErrNotSent}, nil, notRunEnd, nil, 0},
-		{"other content under the key", script{refuse: &peer.Error{Code: peer.CodeConflict}}, nil, 0, nil, connect.CodeAlreadyExists},
+		{"recorded as unknown is not queried again", script{events: []peerapi.ExecuteEvent{{Outcome: peerapi.OutcomeUnknown}}}, nil, unknown, nil, 0},
+		{"refused for load", overloaded(time.Second), nil, notRunEnd, nil, 0},
+		{"never sent", script{openErr: peer.ErrNotSent}, nil, notRunEnd, nil, 0},
+		{"other content under the key", script{openErr: &peer.Error{Code: peer.CodeConflict}}, nil, 0, nil, connect.CodeAlreadyExists},
 		{"lost, resolved as completed", lost, settled(peerapi.OutcomeCompleted, 1, 2, 3), completed, answer, 0},
 		{"lost mid-answer, the rest is resolved", broken, settled(peerapi.OutcomeCompleted, 1, 2, 3), completed, answer, 0},
 		{"lost, cancelled before its start", lost, settled(peerapi.OutcomeNotRun), notRunEnd, nil, 0},
 		{"uncertain, resolved as unknown", uncertain, settled(peerapi.OutcomeUnknown), unknown, nil, 0},
-		{"lost, and nothing can be found out", lost, outage, unknown, nil, 0},
+		{"lost, and the query fails", lost, outage, unknown, nil, 0},
 		{"still under way at the deadline", script{hang: true}, outage, unknown, nil, 0},
 		{"lost, and a refused resolve proves nothing", lost, func(context.Context, peer.Message, peer.Message) error { return peer.ErrNotSent }, unknown, nil, 0},
 	}
@@ -224,7 +223,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				began := time.Now()
+				start := time.Now()
 				owners := &fakeOwners{scripts: []script{tt.script}, resolve: tt.resolve}
 				request := searchRequest()
 				request.UnsafeToRepeat = true
@@ -233,22 +232,21 @@
 				is.True(err == nil || connect.CodeOf(err) == tt.code)
 				is.Equal(end.outcome, tt.want)
 				is.Equal(got, tt.got)
-				is.Equal(len(owners.requests), 1) // sent once, whatever happens
-				is.True(tt.script.hang || time.Since(began) <= resolveTimeout)
-				is.True(time.Since(began) <= 20*time.Second) // the caller's deadline
+				is.Equal(len(owners.requests), 1) // never sent again
+				is.True(tt.script.hang || time.Since(start) <= resolveTimeout)
+				is.True(time.Since(start) <= 20*time.Second) // the caller's deadline
 				is.Equal(len(owners.calls) > 0, tt.resolve != nil)
 			})
 		})
 	}
 }
 
-// TestResolveNamesTheAsk checks that a lost ask is resolved under its own name and content, and that asks differ.
-func TestResolveNamesTheAsk(t *testing.T) {
+func TestResolveIdentifiesLostCall(t *testing.T) {
 	is := is.New(t)
-	var asked []peerapi.Resolve
-	owners := &fakeOwners{scripts: []script{{refuse: peer.ErrLost}, {refuse: peer.ErrLost}}}
+	var queries []peerapi.Resolve
+	owners := &fakeOwners{scripts: []script{{openErr: peer.ErrLost}, {openErr: peer.ErrLost}}}
 	owners.resolve = func(_ context.Context, request, _ peer.Message) error {
-		asked = append(asked, *request.(*peerapi.Resolve))
+		queries = append(queries, *request.(*peerapi.Resolve))
 		return errors.New("down")
 	}
 	gateway := newTestGateway(owners, 1)
@@ -260,8 +258,8 @@
 	}
 	for i, sent := range owners.requests {
 		is.Equal(sent.RequestID, "r")
-		is.Equal(asked[i].Ask, sent.Ask)
-		is.Equal(asked[i].Digest, requestledger.Digest(sent.Prompt, sent.MaxTokens, sent.Seed))
+		is.Equal(queries[i].Ask, sent.Ask)
+		is.Equal(queries[i].Digest, requestledger.Digest(sent.Prompt, sent.MaxTokens, sent.Seed))
 	}
 	is.True(owners.requests[0].Ask != owners.requests[1].Ask)
 }
--- a/internal/gateway/execute_unsafe.go
+++ b/internal/gateway/execute_unsafe.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// resolveTimeout bounds the time to find out what became of a request whose owner was lost.
+	// resolveTimeout limits the query for the outcome of a request whose owner was lost.
 	resolveTimeout = 10 * time.Second
-	// minResolveTimeout is given to it even when the request's own deadline is near.
+	// minResolveTimeout is the minimum time for that query, even if the request's own deadline is closer.
 	minResolveTimeout = 50 * time.Millisecond
-	// resolveReserve is kept of the caller's deadline to find out what became of the request; a short deadline is shared.
+	// resolveReserve is the part of the caller's deadline that is reserved for that query. For short deadlines the
+	// reserve is 1/reserveShare of the remaining time.
 	resolveReserve = time.Second
 	reserveShare   = 4
 )
 
-// unsafeExecution is one unsafe request under way. It is sent to the request ledger once; what became of it after contact
-// was lost is asked, and never guessed.
+// unsafeExecution is one unsafe request in flight. It is sent to the request ledger once. If contact is lost, the
+// outcome is queried from the ledger and never inferred.
 type unsafeExecution struct {
 	gateway   *Gateway
 	message   *v1.ExecuteRequest
@@ -37,7 +38,7 @@
 
 func (s *requestService) executeUnsafe(
 	ctx context.Context, workload *bundle.Workload, message *v1.ExecuteRequest, send sendPart,
-) (final, error) {
+) (requestResult, error) {
 	running := &unsafeExecution{
 		gateway: s.gateway,
 		message: message,
@@ -47,35 +48,35 @@
 	}
 	running.request.Attempt = 1
 	running.request.Ask = rand.Uint64()
-	running.request.TimeoutMillis = max(1, askTimeout(ctx).Milliseconds())
+	running.request.TimeoutMillis = max(1, ledgerTimeout(ctx).Milliseconds())
 	end, err := running.run(ctx)
 	end.tokens = running.delivered
 	return end, err
 }
 
-func (u *unsafeExecution) run(ctx context.Context) (final, error) {
-	ending, err := u.ask(ctx)
+func (u *unsafeExecution) run(ctx context.Context) (requestResult, error) {
+	ending, err := u.sendToLedger(ctx)
 	if err != nil {
-		return final{}, err
+		return requestResult{}, err
 	}
 	switch {
 	case ending.Kind == answer.EndWhole:
-		return final{outcome: v1.Outcome_OUTCOME_COMPLETED}, nil
+		return requestResult{outcome: v1.Outcome_OUTCOME_COMPLETED}, nil
 	case ending.Kind == answer.EndCancelled:
-		return final{outcome: v1.Outcome_OUTCOME_CANCELLED, reason: ending.Reason}, nil
+		return requestResult{outcome: v1.Outcome_OUTCOME_CANCELLED, reason: ending.Reason}, nil
 	case ending.Kind == answer.EndNotRun:
 		return notRun(ending)
 	case ending.Settled:
-		return final{outcome: v1.Outcome_OUTCOME_UNKNOWN, reason: ending.Reason}, nil
+		return requestResult{outcome: v1.Outcome_OUTCOME_UNKNOWN, reason: ending.Reason}, nil
 	case errors.Is(ctx.Err(), context.Canceled):
-		return final{}, ctx.Err() // nobody waits for the answer any more; the ledger keeps it
+		return requestResult{}, ctx.Err() // the caller has gone; the ledger keeps the answer
 	}
 	return u.resolve(ctx, ending)
 }
 
-// ask sends the request to the ledger and relays its answer. The error is the caller's connection's.
-func (u *unsafeExecution) ask(ctx context.Context) (answer.Ending, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout(ctx))
+// sendToLedger sends the request to the ledger and relays its answer. The error is that of sending to the caller.
+func (u *unsafeExecution) sendToLedger(ctx context.Context) (answer.Ending, error) {
+	ctx, cancel := context.WithTimeout(ctx, ledgerTimeout(ctx))
 	defer cancel()
 	stream, err := u.gateway.config.Owners.StreamOwner(
 		ctx, u.stream, u.gateway.preference(), peerapi.MethodExecuteOnce, &u.request, true)
@@ -85,40 +86,41 @@
 	defer func() { _ = stream.Close() }()
 	assembler := answer.NewAssembler(u.request.RequestID, u.request.Attempt, 0)
 	ending, err := answer.Follow(stream, assembler, func(float64) {}, u.deliver)
-	u.gateway.metrics.drops(assembler.Drops())
+	u.gateway.metrics.countDrops(assembler.Drops())
 	return ending, err
 }
 
-// askTimeout is the part of the caller's time in which the ledger may answer. It is told to the ledger, so that what became
-// of the request is settled while it can still be asked.
-func askTimeout(ctx context.Context) time.Duration {
+// ledgerTimeout is the part of the caller's remaining time within which the ledger may answer. It is sent to the
+// ledger, so that the outcome is settled while there is still time to query it.
+func ledgerTimeout(ctx context.Context) time.Duration {
 	remaining := remainingTime(ctx)
 	return remaining - min(resolveReserve, remaining/reserveShare)
 }
 
 func (u *unsafeExecution) deliver(event peerapi.ExecuteEvent) error {
-	if err := u.send(part(u.message, event)); err != nil {
+	if err := u.send(responsePart(u.message, event)); err != nil {
 		return err
 	}
 	u.delivered += len(event.Tokens)
 	return nil
 }
 
-// notRun is the end of a request that the ledger refused or recorded as not run. A refusal that asking again will not
-// change is a Connect error.
-func notRun(ending answer.Ending) (final, error) {
-	if refused := lastingRefusal(ending.Err); refused != nil {
-		return final{}, refusalError(refused)
+// notRun is the result of a request that the ledger refused or recorded as not run. Refusals that a retry can't change
+// become Connect errors.
+func notRun(ending answer.Ending) (requestResult, error) {
+	if refused := permanentRefusal(ending.Err); refused != nil {
+		return requestResult{}, refusalError(refused)
 	}
-	end := final{outcome: v1.Outcome_OUTCOME_NOT_RUN, reason: ending.Reason, retryAfter: ending.RetryAfter}
+	end := requestResult{outcome: v1.Outcome_OUTCOME_NOT_RUN, reason: ending.Reason, retryAfter: ending.RetryAfter}
 	if end.retryAfter == 0 {
 		end.retryAfter = notReadyRetryAfter
 	}
 	return end, nil
 }
 
-// lastingRefusal is the refusal of a request that breaks a rule, or contradicts what is recorded; nil for any other error.
-func lastingRefusal(err error) *peer.Error {
+// permanentRefusal returns the peer error of a request that is invalid or conflicts with the recorded one, and nil for
+// any other error.
+func permanentRefusal(err error) *peer.Error {
 	var refused *peer.Error
 	if !errors.As(err, &refused) {
 		return nil
@@ -130,12 +132,12 @@
 	return nil
 }
 
-// resolve asks the ledger what became of the request. A request that was never started is cancelled by it.
-func (u *unsafeExecution) resolve(ctx context.Context, lost answer.Ending) (final, error) {
+// resolve queries the ledger for the outcome of the request. The ledger cancels a request that was never started.
+func (u *unsafeExecution) resolve(ctx context.Context, lost answer.Ending) (requestResult, error) {
 	budget := resolveBudget(ctx)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), budget)
 	defer cancel()
-	question := peerapi.Resolve{
+	query := peerapi.Resolve{
 		Workload:   u.request.Workload,
 		RequestID:  u.request.RequestID,
 		Ask:        u.request.Ask,
@@ -144,9 +146,9 @@
 	}
 	var settled peerapi.ResolveResult
 	err := u.gateway.config.Owners.CallOwner(
-		ctx, u.stream, u.gateway.preference(), peerapi.MethodResolve, &question, &settled, true)
-	if refused := lastingRefusal(err); refused != nil && refused.Code == peer.CodeConflict {
-		return final{}, refusalError(refused)
+		ctx, u.stream, u.gateway.preference(), peerapi.MethodResolve, &query, &settled, true)
+	if refused := permanentRefusal(err); refused != nil && refused.Code == peer.CodeConflict {
+		return requestResult{}, refusalError(refused)
 	}
 	if err != nil {
 		u.gateway.logger.Debug("request could not be resolved", "request", u.request.RequestID, "lost", lost.Reason, "error", err)
@@ -159,19 +161,19 @@
 	return max(minResolveTimeout, min(resolveTimeout, remainingTime(ctx)))
 }
 
-// unresolved is the end of a request of which nothing could be found out in time. Asking again under the same id is safe
-// and tells more.
-func unresolved(lost answer.Ending) final {
-	return final{
+// unresolved is the result of a request whose outcome could not be determined in time. Retrying with the same id is
+// safe and may return the outcome.
+func unresolved(lost answer.Ending) requestResult {
+	return requestResult{
 		outcome:    v1.Outcome_OUTCOME_UNKNOWN,
 		reason:     "contact with the owner of the request was lost: " + lost.Reason,
 		retryAfter: notReadyRetryAfter,
 	}
 }
 
-// finish gives the caller what it has not got of a settled answer.
-func (u *unsafeExecution) finish(settled *peerapi.ResolveResult) (final, error) {
-	end := final{reason: settled.Reason, retryAfter: time.Duration(settled.RetryAfterMillis) * time.Millisecond}
+// finish sends the caller the tokens of a settled answer that it has not received.
+func (u *unsafeExecution) finish(settled *peerapi.ResolveResult) (requestResult, error) {
+	end := requestResult{reason: settled.Reason, retryAfter: time.Duration(settled.RetryAfterMillis) * time.Millisecond}
 	switch settled.Outcome {
 	case peerapi.OutcomeCompleted:
 		end.outcome = v1.Outcome_OUTCOME_COMPLETED
@@ -189,7 +191,7 @@
 		}
 		event := peerapi.ExecuteEvent{Index: from, Tokens: settled.Tokens[from:span.To], Version: span.Version}
 		if err := u.deliver(event); err != nil {
-			return final{}, err
+			return requestResult{}, err
 		}
 	}
 	return end, nil
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -16,37 +16,37 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// script is what one attempt answers: events, then err; io.EOF for nil.
+// script is the response to one attempt: events, then err, or io.EOF if err is nil.
 type script struct {
-	// refuse is the error of opening the stream.
-	refuse error
-	events []peerapi.ExecuteEvent
-	err    error
-	// hang keeps the stream open without an event until its context ends.
+	// openErr is returned when the stream is opened.
+	openErr error
+	events  []peerapi.ExecuteEvent
+	err     error
+	// hang keeps the stream open after the events until its context ends.
 	hang bool
-	// queued refuses once the timeout that the request names has passed in the queue, and the refusal has travelled.
+	// queued refuses the attempt once the request's timeout has passed in the queue, plus networkDelay.
 	queued bool
 }
 
-// travelTime is how long a refusal from the queue is under way.
-const travelTime = 50 * time.Millisecond
+// networkDelay is the transit time of a refusal from the queue.
+const networkDelay = 50 * time.Millisecond
 
 func (s *scriptStream) waitInQueue() error {
 	select {
-	case <-time.After(time.Duration(s.request.TimeoutMillis)*time.Millisecond + travelTime):
+	case <-time.After(time.Duration(s.request.TimeoutMillis)*time.Millisecond + networkDelay):
 		return &peer.Error{Code: peer.CodeNotReady, Message: "the deadline passed in the queue"}
 	case <-s.ctx.Done():
 		return s.ctx.Err()
 	}
 }
 
-// fakeOwners answers the attempts in their order and keeps the requests. Identifiers left empty in a script are filled
-// with those of the request.
+// fakeOwners answers attempts with its scripts in order and records the requests. Empty identifiers in the events of a
+// script are filled in from the request.
 type fakeOwners struct {
 	mu       sync.Mutex
 	scripts  []script
 	requests []peerapi.Execute
-	// resolve answers MethodResolve and the other calls.
+	// resolve answers MethodResolve and all other unary calls.
 	resolve func(ctx context.Context, request, response peer.Message) error
 	calls   []string
 }
@@ -56,18 +56,18 @@
 ) (peer.ClientStream, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	asked := *request.(*peerapi.Execute)
-	asked.Resume = append([]uint32(nil), asked.Resume...)
-	o.requests = append(o.requests, asked)
+	received := *request.(*peerapi.Execute)
+	received.Resume = append([]uint32(nil), received.Resume...)
+	o.requests = append(o.requests, received)
 	if len(o.scripts) == 0 {
 		return nil, &peer.Error{Code: peer.CodeOverloaded, Message: "nothing left in the script", RetryAfter: time.Minute}
 	}
 	next := o.scripts[0]
 	o.scripts = o.scripts[1:]
-	if next.refuse != nil {
-		return nil, next.refuse
+	if next.openErr != nil {
+		return nil, next.openErr
 	}
-	return &scriptStream{ctx: ctx, request: asked, script: next}, nil
+	return &scriptStream{ctx: ctx, request: received, script: next}, nil
 }
 
 func (o *fakeOwners) CallOwner(
@@ -117,13 +117,13 @@
 	return peerapi.ExecuteEvent{Index: index, Tokens: tokens, Version: 5}
 }
 
-func whole(index int) peerapi.ExecuteEvent {
+func completedEnd(index int) peerapi.ExecuteEvent {
 	return peerapi.ExecuteEvent{Index: index, Outcome: peerapi.OutcomeCompleted}
 }
 
 var accepted = peerapi.ExecuteEvent{Accepted: true}
 
-// fakeEngines lists engines "e0", "e1", … of one pool.
+// fakeEngines is a directory of engines "e0", "e1", … of one pool.
 type fakeEngines int
 
 func (n fakeEngines) Engines(pool string) []platform.Machine {
@@ -141,7 +141,7 @@
 	return names
 }()
 
-// fakeBundles holds the bundle in force.
+// fakeBundles returns a fixed bundle in force.
 type fakeBundles struct{ bundle *bundle.Bundle }
 
 func (b fakeBundles) Current() *bundle.Accepted {
@@ -170,7 +170,8 @@
 	}}
 }
 
-// fakeNodes are members that answer the list methods.
+// fakeNodes is a directory of n members that respond to the list methods. Nodes whose address ends in "3" fail every
+// call.
 type fakeNodes int
 
 func (n fakeNodes) Members() []Member {
@@ -207,8 +208,8 @@
 	return &v1.ExecuteRequest{Workload: "search", RequestId: "r", Prompt: []uint32{1}, MaxTokens: 16}
 }
 
-// run executes a request and returns its end with the tokens that its caller got, in order.
-func run(ctx context.Context, gateway *Gateway, request *v1.ExecuteRequest) (end final, got []uint32, err error) {
+// run executes a request and returns its result and the tokens that its caller received, in order.
+func run(ctx context.Context, gateway *Gateway, request *v1.ExecuteRequest) (end requestResult, got []uint32, err error) {
 	service := &requestService{gateway: gateway}
 	end, err = service.execute(ctx, request, func(part *v1.ExecuteResponse) error {
 		if int(part.GetIndex()) != len(got) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway meets callers, trainers and operators over Connect, and passes their work on to the owners of shards
-// and engines. It keeps no state that outlives a request, hints aside.
+// Package gateway serves callers, trainers and operators over Connect, and forwards their calls to the owners of shards
+// and engines. Except for load hints and retry budgets, it keeps no state beyond a request.
 //
-// Lock order: the locks of admission, retryBudgets and loadHints are leaves; none is held across a call.
+// Lock order: the locks of admission, retryBudgets and loadHints are leaf locks; none is held during a call.
 package gateway
 
 import (
@@ -21,31 +21,31 @@
 
 // Defaults of Limits.
 const (
-	// DefaultMaxBodyBytes bounds one message of a caller, trainer or operator.
+	// DefaultMaxBodyBytes limits the size of one request message.
 	DefaultMaxBodyBytes = 32 << 20
-	// DefaultMaxInFlight bounds the calls of one workload at one gateway.
+	// DefaultMaxInFlight limits the calls in flight of one workload at one gateway.
 	DefaultMaxInFlight = 1024
 )
 
-// Limits bounds what a gateway takes on; the bundle's limits hold besides. Zero values take the defaults.
+// Limits are the limits of one gateway; the bundle's limits apply as well. Zero values select the defaults.
 type Limits struct {
 	MaxBodyBytes int
-	// MaxInFlight bounds the calls under way of each workload.
+	// MaxInFlight limits the calls in flight of each workload.
 	MaxInFlight int
 }
 
-// Config holds what a Gateway needs. Fields may be nil only where it says so.
+// Config configures a Gateway. Fields are required unless their comment says otherwise.
 type Config struct {
-	// Self is this node; its zone and region are preferred.
+	// Self is this node; owners in its zone and region are preferred.
 	Self    placement.Member
 	Owners  OwnerCaller
 	Nodes   NodeCaller
 	Members MemberDirectory
 	Engines EngineDirectory
 	Bundles bundle.Source
-	// BundleAdmin may be nil; the bundle calls of the administration API are then unavailable.
+	// BundleAdmin may be nil; the bundle methods of AdminService are then unavailable.
 	BundleAdmin BundleAdmin
-	// Picker chooses engines; nil is PolicyPicker.
+	// Picker chooses engines; nil selects PolicyPicker.
 	Picker Picker
 	Limits Limits
 	// Logger may be nil.
@@ -54,7 +54,7 @@
 	Metrics prometheus.Registerer
 }
 
-// Gateway serves the three services.
+// Gateway serves SampleService, RequestService and AdminService.
 type Gateway struct {
 	config    Config
 	logger    *log.Logger
@@ -86,7 +86,7 @@
 	}
 }
 
-// Handler serves SampleService, RequestService and AdminService.
+// Handler returns the HTTP handler of SampleService, RequestService and AdminService.
 func (g *Gateway) Handler() http.Handler {
 	options := []connect.HandlerOption{connect.WithReadMaxBytes(g.config.Limits.MaxBodyBytes)}
 	mux := http.NewServeMux()
@@ -96,15 +96,15 @@
 	return mux
 }
 
-// Router chooses engines by what this gateway knows; the request ledger of the same node dispatches through it.
+// Router returns the engine router of this gateway; the request ledger of the same node dispatches through it.
 func (g *Gateway) Router() *EngineRouter { return g.router }
 
-// Drain refuses new work, as not run, and waits until the calls under way have ended or the context ends.
+// Drain refuses new calls, as not run, and waits until the calls in flight have ended or the context ends.
 func (g *Gateway) Drain(ctx context.Context) error {
 	return g.admission.drain(ctx)
 }
 
-// preference places owners near this node.
+// preference selects owners near this node.
 func (g *Gateway) preference() placement.Preference {
 	return placement.Preference{Zone: g.config.Self.Zone, Region: g.config.Self.Region}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -19,8 +19,7 @@
 	"github.com/hillfork/hillfork/internal/peerapi"
 )
 
-// TestPassedBound covers the check of samples right before they are handed over.
-func TestPassedBound(t *testing.T) {
+func TestBoundViolation(t *testing.T) {
 	now := time.UnixMilli(1_000_000_000)
 	sample := func(age time.Duration, oldest uint64) peerapi.DeliveredSample {
 		return peerapi.DeliveredSample{
@@ -31,10 +30,10 @@
 	cases := []struct {
 		name   string
 		sample peerapi.DeliveredSample
-		// checked is the bundle version that the owner checked under; the node holds 7.
-		checked uint64
-		held    *bundle.Bundle
-		passed  bool
+		// ownerVersion is the bundle version under which the owner checked; the node has version 7.
+		ownerVersion uint64
+		nodeBundle   *bundle.Bundle
+		violated     bool
 	}{
 		{"in bound", sample(time.Second, 8), 7, testBundle(), false},
 		{"at both bounds", sample(time.Minute, 8), 7, testBundle(), false},
@@ -50,21 +49,20 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			fetch := peerapi.FetchSamples{Workload: "training", TrainerVersion: 10}
-			result := peerapi.FetchSamplesResult{Samples: []peerapi.DeliveredSample{sample(0, 10), tt.sample}, BundleVersion: tt.checked}
-			why := passedBound(fakeBundles{tt.held}.Current(), &fetch, &result, now)
-			is.Equal(why != "", tt.passed)
+			result := peerapi.FetchSamplesResult{Samples: []peerapi.DeliveredSample{sample(0, 10), tt.sample}, BundleVersion: tt.ownerVersion}
+			reason := boundViolation(fakeBundles{tt.nodeBundle}.Current(), &fetch, &result, now)
+			is.Equal(reason != "", tt.violated)
 		})
 	}
 }
 
-// TestFetchDelayedInside hands in samples that are in bound when the owner sends them and not when they arrive.
-func TestFetchDelayedInside(t *testing.T) {
+func TestFetchWithholdsSamplesExpiredInTransit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		delay := time.Duration(0)
 		owners := &fakeOwners{resolve: func(_ context.Context, _, response peer.Message) error {
 			sent := time.Now()
-			time.Sleep(delay) // virtual: the answer travels
+			time.Sleep(delay) // transit time of the response, in virtual time
 			*response.(*peerapi.FetchSamplesResult) = peerapi.FetchSamplesResult{
 				Samples:       []peerapi.DeliveredSample{{CompletedUnixMillis: sent.Add(-50 * time.Second).UnixMilli(), Index: 3}},
 				NextCursor:    1,
@@ -84,12 +82,13 @@
 	})
 }
 
-// TestDrain stops a gateway with one request in flight: new ones are refused as not run, the old one is not cut off.
+// TestDrain drains a gateway with one request in flight: new requests are refused as not run, and the one in flight
+// completes.
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		release := make(chan struct{})
-		owners := &fakeOwners{scripts: []script{{refuse: peer.ErrLost}}}
+		owners := &fakeOwners{scripts: []script{{openErr: peer.ErrLost}}}
 		owners.resolve = func(_ context.Context, _, response peer.Message) error {
 			<-release
 			response.(*peerapi.ResolveResult).Outcome = peerapi.OutcomeCompleted
@@ -98,15 +97,15 @@
 		gateway := newTestGateway(owners, 1)
 		unsafe := searchRequest()
 		unsafe.UnsafeToRepeat = true
-		inFlight := make(chan final, 1)
+		inFlight := make(chan requestResult, 1)
 		go func() {
 			end, _, _ := run(t.Context(), gateway, unsafe)
 			inFlight <- end
 		}()
 		synctest.Wait()
-		hurried, cancel := context.WithTimeout(t.Context(), time.Second)
+		shortCtx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		is.Equal(gateway.Drain(hurried), context.DeadlineExceeded)
+		is.Equal(gateway.Drain(shortCtx), context.DeadlineExceeded)
 
 		end, _, err := run(t.Context(), gateway, searchRequest())
 		is.NoErr(err)
@@ -119,7 +118,8 @@
 	})
 }
 
-// TestInFlightLimit refuses what goes beyond the bundle's limits of the workload, here 2 running and 1 waiting.
+// TestInFlightLimit checks that calls over the workload's limits in the bundle are refused, here 2 running and 1
+// queued.
 func TestInFlightLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -136,7 +136,7 @@
 		is.Equal(end.retryAfter, overloadRetryAfter)
 		cancel()
 		synctest.Wait()
-		is.NoErr(gateway.Drain(t.Context())) // every call has left
+		is.NoErr(gateway.Drain(t.Context())) // no call is in flight
 	})
 }
 
@@ -147,7 +147,7 @@
 	return server.Client(), server.URL
 }
 
-// TestRefusalsOverConnect covers the typed errors that cross to clients.
+// TestRefusalsOverConnect covers the Connect errors that are returned to clients.
 func TestRefusalsOverConnect(t *testing.T) {
 	var answer error
 	owners := &fakeOwners{resolve: func(context.Context, peer.Message, peer.Message) error { return answer }}
@@ -184,7 +184,7 @@
 		{"owner not ready", plain, &peer.Error{Code: peer.CodeNotReady}, connect.CodeUnavailable, "1"},
 		{"owner overloaded", plain, &peer.Error{Code: peer.CodeOverloaded, RetryAfter: 1500 * time.Millisecond}, connect.CodeResourceExhausted, "2"},
 		{"owner lost", plain, peer.ErrLost, connect.CodeUnavailable, "1"},
-		{"broken inside", plain, &peer.Error{Code: peer.CodeInternal}, connect.CodeInternal, ""},
+		{"internal error of the owner", plain, &peer.Error{Code: peer.CodeInternal}, connect.CodeInternal, ""},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -199,8 +199,8 @@
 	}
 }
 
-// TestListsArePaged walks the pages of the lists: nothing is listed twice or left out, and a node that does not answer
-// does not break the list.
+// TestListsArePaged pages through the lists and checks that no entry is repeated or left out, and that a node which
+// does not respond does not fail the list.
 func TestListsArePaged(t *testing.T) {
 	is := is.New(t)
 	client, url := serve(t, newTestGateway(&fakeOwners{}, 0))
@@ -217,21 +217,21 @@
 		page.Token = response.Msg.GetNextPageToken()
 		is.True(pages < 40)
 	}
-	is.Equal(len(seen), 2*36) // 4 of 40 nodes do not answer
+	is.Equal(len(seen), 2*36) // 4 of 40 nodes do not respond
 
-	nodes, informed := 0, 0
+	nodes, responding := 0, 0
 	page = &v1.Page{Size: 7}
 	for pages := 0; pages == 0 || page.Token != ""; pages++ {
 		response, err := admin.ListNodes(t.Context(), connect.NewRequest(&v1.ListNodesRequest{Page: page}))
 		is.NoErr(err)
 		nodes += len(response.Msg.GetNodes())
 		for _, node := range response.Msg.GetNodes() {
-			informed += int(node.GetBundleVersion()) / 7
+			responding += int(node.GetBundleVersion()) / 7
 		}
 		page.Token = response.Msg.GetNextPageToken()
 	}
 	is.Equal(nodes, 40)
-	is.Equal(informed, 36)
+	is.Equal(responding, 36)
 
 	_, err := admin.DrainNode(t.Context(), connect.NewRequest(&v1.DrainNodeRequest{Node: "n99"}))
 	is.Equal(connect.CodeOf(err), connect.CodeNotFound)
@@ -243,10 +243,10 @@
 	}
 }
 
-// TestExecuteOverConnect streams one answer through a socket.
+// TestExecuteOverConnect streams one answer over a socket.
 func TestExecuteOverConnect(t *testing.T) {
 	is := is.New(t)
-	owners := &fakeOwners{scripts: []script{{events: []peerapi.ExecuteEvent{accepted, tokens(0, 1, 2), tokens(2, 3), whole(3)}}}}
+	owners := &fakeOwners{scripts: []script{{events: []peerapi.ExecuteEvent{accepted, tokens(0, 1, 2), tokens(2, 3), completedEnd(3)}}}}
 	client, url := serve(t, newTestGateway(owners, 2))
 	stream, err := hillforkv1connect.NewRequestServiceClient(client, url).Execute(t.Context(), connect.NewRequest(searchRequest()))
 	is.NoErr(err)
--- a/internal/gateway/interfaces.go
+++ b/internal/gateway/interfaces.go
@@ -10,31 +10,31 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// OwnerCaller calls the owner of a shard or an engine, wherever it is.
+// OwnerCaller calls the owner of a shard or an engine on any node.
 type OwnerCaller interface {
-	// CallOwner calls the owner of key. An idempotent call may be repeated after it was lost. Errors are as of
-	// peer.Caller; a *peer.Error or peer.ErrNotSent holds for all attempts together.
+	// CallOwner calls the owner of key. An idempotent call may be repeated after it was lost. Errors are those of
+	// peer.Caller; a *peer.Error or peer.ErrNotSent applies to all attempts together.
 	CallOwner(ctx context.Context, key string, preference placement.Preference, method string,
 		request, response peer.Message, idempotent bool) error
 	// StreamOwner opens a stream to the owner of key. It follows the hints of peers that do not own the key, and never
-	// sends again what may have taken effect. A patient call may wait a little for a refusal to pass, for example while the
-	// key moves to another owner; any other gets the refusal at once.
+	// resends a request that may have taken effect. If patient is set, it may wait briefly for a refusal to pass, for
+	// example while the key moves to another owner; otherwise it returns the refusal at once.
 	StreamOwner(ctx context.Context, key string, preference placement.Preference, method string,
 		request peer.Message, patient bool) (peer.ClientStream, error)
 }
 
-// NodeCaller calls a process by its peer address; peer.Caller fills it.
+// NodeCaller calls a process by its peer address; peer.Caller implements it.
 type NodeCaller interface {
 	Call(ctx context.Context, address, method string, request, response peer.Message) error
 }
 
-// Member is one node as membership sees it.
+// Member is one node as seen by the membership protocol.
 type Member struct {
 	placement.Member
 	// State is alive, suspect, leaving or dead.
 	State       string
 	Incarnation uint64
-	// Heard is when the state was last confirmed; zero where that is not known.
+	// Heard is when the state was last confirmed; zero if unknown.
 	Heard time.Time
 }
 
@@ -43,13 +43,14 @@
 	Members() []Member
 }
 
-// EngineDirectory lists the machines that run engines; a leaving one is in MachineLeaving from the first sign on.
+// EngineDirectory lists the machines that run engines. A machine is in state MachineLeaving from the first sign that it
+// leaves.
 type EngineDirectory interface {
-	// Engines lists a pool's engines, all engines for an empty pool.
+	// Engines lists the engines of a pool, or all engines if pool is empty.
 	Engines(pool string) []platform.Machine
 }
 
-// BundleAdmin proposes, signs and lists bundles; *bundle.Follower fills it.
+// BundleAdmin proposes, signs and lists bundles; *bundle.Follower implements it.
 type BundleAdmin interface {
 	// CaughtUpAt is when the bundle stream was last read to its tail; zero before the first time.
 	CaughtUpAt() time.Time
--- a/internal/gateway/load_hints.go
+++ b/internal/gateway/load_hints.go
@@ -8,19 +8,19 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// maxHints bounds the engines that hints are kept of.
+// maxHints limits the number of engines with a stored hint.
 const maxHints = 4096
 
-// hint is what was last heard of an engine's load, streams over slots.
+// hint is the last reported load of an engine, as the ratio of streams to slots.
 type hint struct {
-	load  float64
-	heard time.Time
-	// open counts the streams of this gateway that were opened since.
+	load       float64
+	reportedAt time.Time
+	// open counts the streams that this gateway has open to the engine.
 	open int
 }
 
-// loadHints keeps the loads that engines' owners told with their events. A hint decays, so that an engine that was avoided
-// for its load is tried again.
+// loadHints stores the loads that the owners of engines report with their events. Hints decay, so that an engine that
+// was avoided for its load is tried again.
 type loadHints struct {
 	mu    sync.Mutex
 	hints map[string]hint
@@ -30,7 +30,7 @@
 	return &loadHints{hints: make(map[string]hint)}
 }
 
-// loads estimates the engines' streams over slots now, in their order.
+// loads returns the estimated ratio of streams to slots of each engine, in the order of engines.
 func (h *loadHints) loads(engines []platform.Machine, now time.Time) []float64 {
 	estimates := make([]float64, len(engines))
 	h.mu.Lock()
@@ -45,31 +45,31 @@
 }
 
 func (h hint) decayed(now time.Time) float64 {
-	if h.heard.IsZero() {
+	if h.reportedAt.IsZero() {
 		return 0
 	}
-	halvings := float64(now.Sub(h.heard)) / float64(hintHalfLife)
+	halvings := float64(now.Sub(h.reportedAt)) / float64(hintHalfLife)
 	return h.load * math.Exp2(-max(0, halvings))
 }
 
-// heard takes a load told by the engine's owner.
-func (h *loadHints) heard(engine string, load float64, now time.Time) {
+// reported records a load reported by the engine's owner.
+func (h *loadHints) reported(engine string, load float64, now time.Time) {
 	h.update(engine, func(known *hint) {
 		known.load = load
-		known.heard = now
+		known.reportedAt = now
 	})
 }
 
-// failed makes an engine look busy for a while.
+// failed records a failed attempt as a high load, so that the engine is avoided for a while.
 func (h *loadHints) failed(engine string, now time.Time) {
-	h.heard(engine, failurePenalty, now)
+	h.reported(engine, failurePenalty, now)
 }
 
-func (h *loadHints) sent(engine string) {
+func (h *loadHints) streamOpened(engine string) {
 	h.update(engine, func(known *hint) { known.open++ })
 }
 
-func (h *loadHints) ended(engine string) {
+func (h *loadHints) streamClosed(engine string) {
 	h.update(engine, func(known *hint) { known.open = max(0, known.open-1) })
 }
 
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -9,12 +9,12 @@
 	v1 "github.com/hillfork/hillfork/internal/gen/hillfork/v1"
 )
 
-// metrics counts what became of the requests.
+// metrics are the Prometheus counters of the gateway.
 type metrics struct {
 	outcomes *prometheus.CounterVec
 	retries  *prometheus.CounterVec
 	dropped  *prometheus.CounterVec
-	refetch  *prometheus.CounterVec
+	withheld *prometheus.CounterVec
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -31,24 +31,24 @@
 			Name: "hillfork_gateway_dropped_events_total",
 			Help: "Events of engines that were not delivered, by cause: foreign, duplicate, overflow.",
 		}, []string{"cause"}),
-		refetch: prometheus.NewCounterVec(prometheus.CounterOpts{
+		withheld: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "hillfork_gateway_withheld_fetches_total",
 			Help: "Fetch answers withheld at hand-over because the bound in force was passed, by workload.",
 		}, []string{"workload"}),
 	}
 	if registerer != nil {
-		registerer.MustRegister(created.outcomes, created.retries, created.dropped, created.refetch)
+		registerer.MustRegister(created.outcomes, created.retries, created.dropped, created.withheld)
 	}
 	return created
 }
 
-func (m *metrics) drops(drops answer.Drops) {
+func (m *metrics) countDrops(drops answer.Drops) {
 	m.dropped.WithLabelValues("foreign").Add(float64(drops.Foreign))
 	m.dropped.WithLabelValues("duplicate").Add(float64(drops.Duplicate))
 	m.dropped.WithLabelValues("overflow").Add(float64(drops.Overflow))
 }
 
-// outcomeLabel writes OUTCOME_NOT_RUN as "not_run".
+// outcomeLabel returns the metric label of an outcome, for example "not_run" for OUTCOME_NOT_RUN.
 func outcomeLabel(outcome v1.Outcome) string {
 	return strings.ToLower(strings.TrimPrefix(outcome.String(), "OUTCOME_"))
 }
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -8,7 +8,7 @@
 	v1 "github.com/hillfork/hillfork/internal/gen/hillfork/v1"
 )
 
-// TestOutcomeLabels holds the labels that the operators' page names.
+// TestOutcomeLabels checks the outcome labels, which are documented for operators.
 func TestOutcomeLabels(t *testing.T) {
 	is := is.New(t)
 	for outcome, label := range map[v1.Outcome]string{
--- a/internal/gateway/page.go
+++ b/internal/gateway/page.go
@@ -23,7 +23,7 @@
 	return size, nil
 }
 
-// numberToken reads a page token that is a position; an empty one is 0.
+// numberToken parses a page token that is a position; an empty token is 0.
 func numberToken(token string) (int64, error) {
 	if token == "" {
 		return 0, nil
@@ -42,8 +42,8 @@
 	return strconv.FormatInt(position, 10)
 }
 
-// pageAfter returns the items whose key is above the token, at most size, and the token of the next page. Items are in
-// the order of their keys, which are unique.
+// pageAfter returns at most size items whose key is greater than the token, and the token of the next page. Items must
+// be sorted by key, and keys must be unique.
 func pageAfter[T any](items []T, keyOf func(T) string, token string, size int) (page []T, next string) {
 	for _, item := range items {
 		if token != "" && keyOf(item) <= token {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// defaultTimeout bounds a request where neither the caller nor the bundle does.
+	// defaultTimeout limits a request if neither the caller nor the bundle sets a timeout.
 	defaultTimeout = 2 * time.Minute
 	noEngine       = "no engine serves the workload now"
 )
 
-// requestService runs interactive requests.
+// requestService serves interactive requests.
 type requestService struct {
 	gateway *Gateway
 }
 
-// final is the end of a request, as its caller is told.
-type final struct {
+// requestResult is the final result of a request as reported to its caller.
+type requestResult struct {
 	outcome    v1.Outcome
 	reason     string
 	retryAfter time.Duration
 	tokens     int
 }
 
-// Execute streams an answer; the last message carries the outcome. A request that breaks a rule gets a Connect error, and
-// was not run.
+// Execute streams an answer; the last message carries the outcome. An invalid request is not run and returns a Connect
+// error.
 func (s *requestService) Execute(
 	ctx context.Context, request *connect.Request[v1.ExecuteRequest], stream *connect.ServerStream[v1.ExecuteResponse],
 ) error {
@@ -54,21 +54,21 @@
 	})
 }
 
-// sendPart gives the caller one part of its answer.
+// sendPart sends the caller one part of its answer.
 type sendPart func(*v1.ExecuteResponse) error
 
-func (s *requestService) execute(ctx context.Context, message *v1.ExecuteRequest, send sendPart) (final, error) {
+func (s *requestService) execute(ctx context.Context, message *v1.ExecuteRequest, send sendPart) (requestResult, error) {
 	accepted := s.gateway.config.Bundles.Current()
 	if accepted == nil {
-		return refusedBefore(&refusal{"the node has no bundle yet", notReadyRetryAfter}), nil
+		return notAdmitted(&refusal{"the node has no bundle yet", notReadyRetryAfter}), nil
 	}
 	workload := accepted.Bundle.Workload(message.GetWorkload())
 	if err := checkRequest(workload, message); err != nil {
-		return final{}, err
+		return requestResult{}, err
 	}
 	leave, refused := s.gateway.admission.enter(workload.Name, s.gateway.inFlightLimit(workload))
 	if refused != nil {
-		return refusedBefore(refused), nil
+		return notAdmitted(refused), nil
 	}
 	defer leave()
 	ctx, cancel := context.WithTimeout(ctx, timeoutOf(workload, message))
@@ -79,11 +79,11 @@
 	return s.executeSafe(ctx, workload, message, send)
 }
 
-func refusedBefore(refused *refusal) final {
-	return final{outcome: v1.Outcome_OUTCOME_NOT_RUN, reason: refused.reason, retryAfter: refused.retryAfter}
+func notAdmitted(refused *refusal) requestResult {
+	return requestResult{outcome: v1.Outcome_OUTCOME_NOT_RUN, reason: refused.reason, retryAfter: refused.retryAfter}
 }
 
-// checkRequest refuses what breaks a rule and will break it again.
+// checkRequest returns an error for a request that is invalid and would fail again on a retry.
 func checkRequest(workload *bundle.Workload, message *v1.ExecuteRequest) error {
 	if workload == nil {
 		return notFound(fmt.Sprintf("workload %q is not in the bundle in force", message.GetWorkload()))
@@ -126,15 +126,15 @@
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	wanted := time.Duration(min(message.GetTimeoutMillis(), timeout.Milliseconds())) * time.Millisecond
-	if wanted > 0 {
-		return wanted
+	requested := time.Duration(min(message.GetTimeoutMillis(), timeout.Milliseconds())) * time.Millisecond
+	if requested > 0 {
+		return requested
 	}
 	return timeout
 }
 
-// inFlightLimit is how many calls of a workload may be under way at this gateway: what may run and wait by the bundle,
-// and never more than the gateway's own bound.
+// inFlightLimit returns how many calls of a workload may be in flight at this gateway: the bundle's limits for running
+// and queued calls together, capped by the gateway's own limit.
 func (g *Gateway) inFlightLimit(workload *bundle.Workload) int {
 	limit := g.config.Limits.MaxInFlight
 	if workload.Limits.MaxInFlight > 0 {
@@ -143,8 +143,8 @@
 	return limit
 }
 
-// engineRequestID is unique to one call of one caller. The caller's own id is not used towards engines, for two callers
-// may choose the same one.
+// engineRequestID returns an id that is unique to this call. The caller's own id is not sent to engines, because two
+// callers may choose the same one.
 func engineRequestID(message *v1.ExecuteRequest) string {
 	return message.GetWorkload() + "/" + rand.Text()
 }
@@ -159,8 +159,8 @@
 	}
 }
 
-// part is an event as the caller sees it.
-func part(message *v1.ExecuteRequest, event peerapi.ExecuteEvent) *v1.ExecuteResponse {
+// responsePart converts an event to the message sent to the caller.
+func responsePart(message *v1.ExecuteRequest, event peerapi.ExecuteEvent) *v1.ExecuteResponse {
 	return &v1.ExecuteResponse{
 		RequestId: message.GetRequestId(),
 		Index:     int32(event.Index),
@@ -169,7 +169,8 @@
 	}
 }
 
-// remainingTime is what is left of the context's deadline, at least a millisecond.
+// remainingTime returns the time until the context's deadline, at least 1 ms, or defaultTimeout if there is no
+// deadline.
 func remainingTime(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/internal/gateway/retry_budget.go
+++ b/internal/gateway/retry_budget.go
@@ -2,11 +2,12 @@
 
 import "sync"
 
-// retryBurst is how many retries a workload may make beyond its ratio after a quiet time.
+// retryBurst is the capacity of a retry budget: the number of retries that a workload may make beyond its ratio after a
+// period without retries.
 const retryBurst = 10
 
-// retryBudgets holds a token bucket for each workload. Every request earns a part of a token, every retry costs one, so
-// that retries stay a bounded part of the requests however many fail.
+// retryBudgets holds a token bucket for each workload. Each request adds a fraction of a token and each retry costs
+// one, so that retries stay a limited share of the requests regardless of how many fail.
 type retryBudgets struct {
 	mu      sync.Mutex
 	buckets map[string]float64
@@ -16,7 +17,7 @@
 	return &retryBudgets{buckets: make(map[string]float64)}
 }
 
-// earn credits one request of a workload whose retries may be ratio of its requests.
+// earn credits one request of a workload; ratio is the allowed number of retries per request.
 func (b *retryBudgets) earn(workload string, ratio float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -27,7 +28,7 @@
 	b.buckets[workload] = min(balance+ratio, retryBurst)
 }
 
-// spend takes one retry; false says that the budget is spent, or that the workload allows none.
+// spend takes one token for a retry. It returns false if the budget is exhausted or the workload allows no retries.
 func (b *retryBudgets) spend(workload string, ratio float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/gateway/samples.go
+++ b/internal/gateway/samples.go
@@ -15,25 +15,26 @@
 )
 
 const (
-	// maxFetchWait bounds how long a fetch may wait for samples.
+	// maxFetchWait limits how long a fetch may wait for samples.
 	maxFetchWait = 30 * time.Second
-	// sampleCallTimeout bounds a trainer's call beyond what a fetch waits.
+	// sampleCallTimeout limits a trainer's call, in addition to the wait time of a fetch.
 	sampleCallTimeout = 30 * time.Second
-	// withheldRetryAfter is told with a fetch answer that passed its bound at hand-over.
+	// withheldRetryAfter is the retry delay sent when samples exceeded a staleness bound before they could be
+	// delivered.
 	withheldRetryAfter = 50 * time.Millisecond
 )
 
-// sampleService passes the calls of trainers to the owners of their steps.
+// sampleService forwards the calls of trainers to the owners of their steps.
 type sampleService struct {
 	gateway *Gateway
 }
 
-// stepShard is the key of the owner of a step.
+// stepShard returns the key of the shard that owns a step.
 func stepShard(workload string, step uint64) string {
 	return stepledger.StreamName(workload, stepledger.ShardOf(step))
 }
 
-// SubmitStep records a step.
+// SubmitStep records a step with its owner.
 func (s *sampleService) SubmitStep(
 	ctx context.Context, request *connect.Request[v1.SubmitStepRequest],
 ) (*connect.Response[v1.SubmitStepResponse], error) {
@@ -86,7 +87,7 @@
 	return checkMaxTokens(limits, step.MaxTokens)
 }
 
-// FetchSamples hands out samples, unless they passed the bound in force on their way.
+// FetchSamples returns samples, unless they exceeded a bound of the bundle in force since the owner sent them.
 func (s *sampleService) FetchSamples(
 	ctx context.Context, request *connect.Request[v1.FetchSamplesRequest],
 ) (*connect.Response[v1.FetchSamplesResponse], error) {
@@ -113,16 +114,17 @@
 		return nil, err
 	}
 	now := time.Now()
-	if why := passedBound(s.gateway.config.Bundles.Current(), &fetch, &result, now); why != "" {
-		s.gateway.metrics.refetch.WithLabelValues(workload.Name).Inc()
-		return nil, unavailable(why+"; fetch again at the same cursor", withheldRetryAfter)
+	if reason := boundViolation(s.gateway.config.Bundles.Current(), &fetch, &result, now); reason != "" {
+		s.gateway.metrics.withheld.WithLabelValues(workload.Name).Inc()
+		return nil, unavailable(reason+"; fetch again at the same cursor", withheldRetryAfter)
 	}
 	return connect.NewResponse(fetchResponse(&fetch, &result, now)), nil
 }
 
-// passedBound tells why samples may not be handed over under the bundle that this node holds now; empty when they may. The
-// owner checked already, under its own bundle and before the answer travelled.
-func passedBound(
+// boundViolation returns the reason why samples must not be delivered under this node's current bundle, or "" if they
+// may. The owner has checked them before sending, but under its own bundle, and they may have become too old in
+// transit.
+func boundViolation(
 	accepted *bundle.Accepted, fetch *peerapi.FetchSamples, result *peerapi.FetchSamplesResult, now time.Time,
 ) string {
 	if len(result.Samples) == 0 {
@@ -145,14 +147,14 @@
 		return ""
 	}
 	for i := range result.Samples {
-		if why := samplePassedBound(workload.Staleness, fetch.TrainerVersion, &result.Samples[i], now); why != "" {
-			return why
+		if reason := sampleBoundViolation(workload.Staleness, fetch.TrainerVersion, &result.Samples[i], now); reason != "" {
+			return reason
 		}
 	}
 	return ""
 }
 
-func samplePassedBound(
+func sampleBoundViolation(
 	bound *bundle.Staleness, trainerVersion uint64, sample *peerapi.DeliveredSample, now time.Time,
 ) string {
 	age := now.Sub(time.UnixMilli(sample.CompletedUnixMillis))
@@ -199,7 +201,7 @@
 	return response
 }
 
-// PublishVersion tells both shards of the workload of a new weight version.
+// PublishVersion announces a new weight version to all shards of the workload.
 func (s *sampleService) PublishVersion(
 	ctx context.Context, request *connect.Request[v1.PublishVersionRequest],
 ) (*connect.Response[v1.PublishVersionResponse], error) {
@@ -222,7 +224,7 @@
 	return connect.NewResponse(&v1.PublishVersionResponse{}), nil
 }
 
-// trainingWorkload finds a workload with steps in the bundle in force.
+// trainingWorkload returns a training workload of the bundle in force.
 func (g *Gateway) trainingWorkload(name string) (*bundle.Workload, error) {
 	accepted := g.config.Bundles.Current()
 	if accepted == nil {
@@ -238,7 +240,7 @@
 	return workload, nil
 }
 
-// enter admits a trainer's call.
+// enter admits a trainer's call. The caller must call the returned function when the call ends.
 func (s *sampleService) enter(name string) (*bundle.Workload, func(), error) {
 	workload, err := s.gateway.trainingWorkload(name)
 	if err != nil {
@@ -251,7 +253,7 @@
 	return workload, leave, nil
 }
 
-// call calls the owner of a step. All calls of trainers are idempotent.
+// call calls the owner of a step. All calls of trainers are idempotent, so they may be repeated.
 func (s *sampleService) call(
 	ctx context.Context, workload string, step uint64, method string, request, response peer.Message, wait time.Duration,
 ) error {
