--- a/internal/answer/ending.go
+++ b/internal/answer/ending.go
@@ -17,8 +17,8 @@
 	// EndBroken means that contact was lost, or that the attempt stopped before the answer was complete; it may have
 	// run.
 	EndBroken EndKind = iota
-	// EndWhole means that all tokens of the answer have arrived.
-	EndWhole
+	// EndComplete means that all tokens of the answer have arrived.
+	EndComplete
 	// EndNotRun means that the attempt is proven not to have run on any engine.
 	EndNotRun
 	// EndCancelled means that the attempt was cancelled while it ran.
@@ -117,7 +117,7 @@
 	}
 	switch end.Outcome {
 	case peerapi.OutcomeCompleted:
-		ending.Kind = EndWhole
+		ending.Kind = EndComplete
 	case peerapi.OutcomeNotRun:
 		ending.Kind = EndNotRun
 		if hasTokens {
--- a/internal/gateway/execute_safe.go
+++ b/internal/gateway/execute_safe.go
@@ -99,7 +99,7 @@
 			return requestResult{}, err
 		}
 		switch ending.Kind {
-		case answer.EndWhole:
+		case answer.EndComplete:
 			return requestResult{outcome: v1.Outcome_OUTCOME_COMPLETED}, nil
 		case answer.EndCancelled:
 			return requestResult{outcome: v1.Outcome_OUTCOME_CANCELLED, reason: ending.Reason}, nil
--- a/internal/gateway/execute_unsafe.go
+++ b/internal/gateway/execute_unsafe.go
@@ -60,7 +60,7 @@
 		return requestResult{}, err
 	}
 	switch {
-	case ending.Kind == answer.EndWhole:
+	case ending.Kind == answer.EndComplete:
 		return requestResult{outcome: v1.Outcome_OUTCOME_COMPLETED}, nil
 	case ending.Kind == answer.EndCancelled:
 		return requestResult{outcome: v1.Outcome_OUTCOME_CANCELLED, reason: ending.Reason}, nil
--- a/internal/requestledger/result.go
+++ b/internal/requestledger/result.go
@@ -23,7 +23,7 @@
 // resultOf is what is recorded of a run that ended so. Only a whole answer is kept.
 func resultOf(ending answer.Ending, gathered result) result {
 	switch ending.Kind {
-	case answer.EndWhole:
+	case answer.EndComplete:
 		if len(gathered.tokens) > MaxRecordedTokens {
 			return result{outcome: peerapi.OutcomeUnknown, reason: "the engine answered more than can be recorded"}
 		}
