--- a/internal/gateway/execute_test.go
+++ b/internal/gateway/execute_test.go
@@ -49,7 +49,7 @@
 		got      []uint32
 		attempts int
 	}{
-		{"whole answer", 2, []script{all}, completed, answer, 1},
+		{"complete answer", 2, []script{all}, completed, answer, 1},
 		{"end carries the last tokens", 2, []script{{events: []peerapi.ExecuteEvent{{Tokens: answer, Version: 5, Outcome: peerapi.OutcomeCompleted}}}}, completed, answer, 1},
 		{"another request's and another attempt's events", 2, []script{{events: []peerapi.ExecuteEvent{foreign, tokens(0, 1, 2), late, tokens(2, 3, 4, 5), completedEnd(5)}}}, completed, answer, 1},
 		{"duplicate events", 2, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1, 2), tokens(0, 1, 2), tokens(1, 2, 3), tokens(3, 4, 5), completedEnd(5)}}}, completed, answer, 1},
@@ -113,6 +113,8 @@
 	}
 }
 
+// TestResumeIncludesDeliveredTokens checks that a resumed attempt carries the tokens that were delivered to the caller,
+// without those received after a gap.
 func TestResumeIncludesDeliveredTokens(t *testing.T) {
 	is := is.New(t)
 	owners := &fakeOwners{scripts: []script{
@@ -125,6 +127,8 @@
 	is.Equal(owners.requests[1].Resume, []uint32{1, 2})
 }
 
+// TestAbandonedRequestReturnsWithoutDelay checks that a request which all engines refuse returns right after the last
+// refusal, with the shortest retry delay that an engine named.
 func TestAbandonedRequestReturnsWithoutDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -138,6 +142,8 @@
 	})
 }
 
+// TestRequestQueuedUntilDeadlineIsNotRun checks that a request which never left the queue is reported as not run before
+// its deadline.
 func TestRequestQueuedUntilDeadlineIsNotRun(t *testing.T) {
 	for _, unsafe := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -205,7 +211,7 @@
 		got     []uint32
 		code    connect.Code
 	}{
-		{"whole answer", script{events: []peerapi.ExecuteEvent{tokens(0, 1, 2, 3), completedEnd(3)}}, nil, completed, answer, 0},
+		{"complete answer", script{events: []peerapi.ExecuteEvent{tokens(0, 1, 2, 3), completedEnd(3)}}, nil, completed, answer, 0},
 		{"recorded as not run", script{events: []peerapi.ExecuteEvent{{Outcome: peerapi.OutcomeNotRun}}}, nil, notRunEnd, nil, 0},
 		{"recorded as unknown is not queried again", script{events: []peerapi.ExecuteEvent{{Outcome: peerapi.OutcomeUnknown}}}, nil, unknown, nil, 0},
 		{"refused for load", overloaded(time.Second), nil, notRunEnd, nil, 0},
@@ -241,6 +247,8 @@
 	}
 }
 
+// TestResolveIdentifiesLostCall checks that the query for the outcome of a lost call carries the Ask value and the
+// content digest of that call, and that Ask differs between calls.
 func TestResolveIdentifiesLostCall(t *testing.T) {
 	is := is.New(t)
 	var queries []peerapi.Resolve
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -19,6 +19,7 @@
 	"github.com/hillfork/hillfork/internal/peerapi"
 )
 
+// TestBoundViolation covers the staleness check right before samples are delivered.
 func TestBoundViolation(t *testing.T) {
 	now := time.UnixMilli(1_000_000_000)
 	sample := func(age time.Duration, oldest uint64) peerapi.DeliveredSample {
@@ -56,6 +57,8 @@
 	}
 }
 
+// TestFetchWithholdsSamplesExpiredInTransit checks that samples are withheld if they were within the age bound when the
+// owner sent them and exceed it on arrival.
 func TestFetchWithholdsSamplesExpiredInTransit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
