--- a/internal/gateway/execute_safe.go
+++ b/internal/gateway/execute_safe.go
@@ -38,7 +38,7 @@
 	// mayHaveRun is set once an attempt failed without proof that it did not run.
 	mayHaveRun bool
 	reason     string
-	// retryAfter is the shortest retry delay that an engine's refusal named.
+	// retryAfter is the shortest retry delay that an engine named when it rejected an attempt.
 	retryAfter time.Duration
 }
 
--- a/internal/gateway/execute_test.go
+++ b/internal/gateway/execute_test.go
@@ -40,7 +40,7 @@
 	foreign.RequestID = "another"
 	late := tokens(0, 67)
 	late.Attempt = 9
-	refusedLate := script{events: []peerapi.ExecuteEvent{accepted}, err: &peer.Error{Code: peer.CodeNotReady}}
+	rejectedLate := script{events: []peerapi.ExecuteEvent{accepted}, err: &peer.Error{Code: peer.CodeNotReady}}
 	cases := []struct {
 		name     string
 		engines  int
@@ -56,18 +56,18 @@
 		{"reordered events, the end first", 2, []script{{events: []peerapi.ExecuteEvent{completedEnd(5), tokens(4, 5), tokens(2, 3), tokens(3, 4), tokens(0, 1, 2)}}}, completed, answer, 1},
 		{"an event is missing", 2, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1, 2), tokens(4, 5), completedEnd(5)}}, rest}, completed, answer, 2},
 		{"answer is longer than its end says", 1, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1, 2), completedEnd(1)}}}, unknown, []uint32{1, 2}, 1},
-		{"refused, then run by another engine", 2, []script{overloaded(0), all}, completed, answer, 2},
+		{"rejected, then run by another engine", 2, []script{overloaded(0), all}, completed, answer, 2},
 		{"lost before the first token", 2, []script{{openErr: peer.ErrLost}, all}, completed, answer, 2},
 		{"lost after the first tokens, resumed by another engine", 2, []script{{events: []peerapi.ExecuteEvent{accepted, tokens(0, 1, 2)}, err: peer.ErrLost}, rest}, completed, answer, 2},
 		{"stream ends without an outcome", 2, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1, 2)}}, rest}, completed, answer, 2},
 		{"weights that the bundle does not accept", 2, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1, 2), wrong}}, rest}, completed, answer, 2},
 		{"cancelled", 2, []script{{events: []peerapi.ExecuteEvent{accepted, {Outcome: peerapi.OutcomeCancelled}}}}, cancelled, nil, 1},
 		{"no engine", 0, nil, notRunEnd, nil, 0},
-		{"all refuse", 3, []script{overloaded(0), overloaded(0), {openErr: peer.ErrNotSent}}, notRunEnd, nil, 3},
+		{"all reject", 3, []script{overloaded(0), overloaded(0), {openErr: peer.ErrNotSent}}, notRunEnd, nil, 3},
 		{"engine says not run", 1, []script{{events: []peerapi.ExecuteEvent{accepted, {Outcome: peerapi.OutcomeNotRun}}}}, notRunEnd, nil, 1},
 		{"engine says not run after tokens", 1, []script{{events: []peerapi.ExecuteEvent{tokens(0, 1), {Index: 1, Outcome: peerapi.OutcomeNotRun}}}}, unknown, []uint32{1}, 1},
-		{"refused after it was accepted", 1, []script{refusedLate}, unknown, nil, 1},
-		{"one lost, the others refuse", 3, []script{{openErr: peer.ErrLost}, overloaded(0), overloaded(0)}, unknown, nil, 3},
+		{"rejected after it was accepted", 1, []script{rejectedLate}, unknown, nil, 1},
+		{"one lost, the others reject", 3, []script{{openErr: peer.ErrLost}, overloaded(0), overloaded(0)}, unknown, nil, 3},
 		{"internal error proves nothing", 1, []script{{openErr: &peer.Error{Code: peer.CodeInternal}}}, unknown, nil, 1},
 		{"uncertain error proves nothing", 1, []script{{openErr: &peer.Error{Code: peer.CodeUncertain}}}, unknown, nil, 1},
 		{"engine says unknown", 1, []script{{events: []peerapi.ExecuteEvent{{Outcome: peerapi.OutcomeUnknown}}}}, unknown, nil, 1},
@@ -127,8 +127,8 @@
 	is.Equal(owners.requests[1].Resume, []uint32{1, 2})
 }
 
-// TestAbandonedRequestReturnsWithoutDelay checks that a request which all engines refuse returns right after the last
-// refusal, with the shortest retry delay that an engine named.
+// TestAbandonedRequestReturnsWithoutDelay checks that a request which all engines reject returns right after the last
+// rejection, with the shortest retry delay that an engine named.
 func TestAbandonedRequestReturnsWithoutDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
