--- a/internal/requestledger/result.go
+++ b/internal/requestledger/result.go
@@ -23,7 +23,7 @@
 // resultOf returns the result to record for a run that ended with the given ending. Only complete answers are stored.
 func resultOf(ending answer.Ending, gathered result) result {
 	switch ending.Kind {
-	case answer.EndWhole:
+	case answer.EndComplete:
 		if len(gathered.tokens) > MaxRecordedTokens {
 			return result{outcome: peerapi.OutcomeUnknown, reason: "the engine answered more than can be recorded"}
 		}
