--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog is the operator's configuration as the product sees it: routes that lead requests to pools, the pools,
-// the limits on what callers may send, and the weight versions that trainers have named. It is pure data with pure
-// look-ups; whoever follows the store replaces it whole.
+// Package catalog holds the operator's configuration as the rest of the program uses it: routes that map requests to pools, the
+// pools, the limits on what callers may send, and the published weight versions. A Catalog is immutable data with look-up
+// functions; the code that follows the store replaces it as a whole.
 package catalog
 
 import (
@@ -11,61 +11,60 @@
 	"github.com/hillfork/hillfork/internal/tenant"
 )
 
-// Kind says how requests of a route may be treated.
+// Kind is how requests of a route may be executed.
 type Kind int
 
-// Kinds of routes.
 const (
 	// KindOnce marks requests that run at most once.
 	KindOnce Kind = iota
 	// KindRepeatable marks requests that may run more than once.
 	KindRepeatable
-	// KindStream marks streamed answers. They run at most once unless the route is resumable.
+	// KindStream marks requests with streamed answers. They run at most once unless the route is resumable.
 	KindStream
 	// KindJobs marks a route on which batch jobs are submitted.
 	KindJobs
 )
 
-// Target is one part of a route's traffic.
+// Target is a pool that receives a share of a route's requests.
 type Target struct {
 	Pool string
-	// Weight is the part's share relative to the sum of all.
+	// Weight is the target's share relative to the sum of all weights of the route.
 	Weight float64
 }
 
-// Route leads requests of a host and path prefix to pools.
+// Route maps requests of a host and path prefix to pools.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time a request may be held, 0 for no bound.
+	// Timeout is the maximum time that a request may take, 0 for no limit.
 	Timeout time.Duration
-	// Aim is the time within which an answer earns its full credit.
+	// Aim is the target latency: the time within which an answer earns its full credit.
 	Aim      time.Duration
 	Priority int
 	Targets  []Target
-	// MaxAttempts is the most engines that one request of a caller may be sent to.
+	// MaxAttempts is the maximum number of engines that one request of a caller may be sent to.
 	MaxAttempts int
 	Resumable   bool
-	// SingleVersion says that a result may hold events of one weight version only.
+	// SingleVersion requires that all events of a result come from one weight version.
 	SingleVersion bool
-	// MaxWait is the time after submission at which an item of a job may be given up.
+	// MaxWait is the time after submission at which an item of a job may be abandoned.
 	MaxWait time.Duration
-	// RunDeadline is the time after submission by which all results of a job are due.
+	// RunDeadline is the time after submission by which all results of a job are expected.
 	RunDeadline time.Duration
-	// Public says that requests need no key.
+	// Public allows requests without an API key.
 	Public bool
-	// Regions are those whose engines may run the route's requests, nil for all.
+	// Regions are the regions whose engines may run the route's requests, nil for all.
 	Regions []string
 }
 
-// MayRepeat tells whether a request of the route may run more than once.
+// MayRepeat reports whether a request of the route may run more than once.
 func (r Route) MayRepeat() bool {
 	return r.Kind == KindRepeatable || r.Kind == KindJobs || r.Kind == KindStream && r.Resumable
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on what a caller may send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -76,21 +75,22 @@
 // Pool is a group of engines of one kind.
 type Pool struct {
 	Name string
-	// MaxConnections is what each engine accepts from all callers together.
+	// MaxConnections is the maximum number of connections that each engine accepts from all callers together.
 	MaxConnections int
-	// ColdRate is how many requests a second an engine bears while it is cold, from all processes together; 0 for no bound.
+	// ColdRate is the number of requests per second that an engine can process while it is cold, from all processes together; 0
+	// for no limit.
 	ColdRate float64
-	// Models are the models that the pool's engines can hold; empty for application servers.
+	// Models are the models that the pool's engines can load; empty for application servers.
 	Models []string
-	// Scaling says how many engines may be ordered, nil if none can be.
+	// Scaling limits how many engines may be ordered, nil if none can be.
 	Scaling *Scaling
 }
 
-// Scaling is what can be ordered of a pool's engines.
+// Scaling describes which engines can be ordered for a pool.
 type Scaling struct {
-	// Most bounds the engines of one zone, regular and preemptible ones together.
+	// Most is the maximum number of engines in one zone, regular and preemptible ones together.
 	Most int
-	// ZonePrices are what a second of a regular engine costs by zone, relative to each other.
+	// ZonePrices are the prices of a second of a regular engine by zone, relative to each other.
 	ZonePrices map[string]float64
 }
 
@@ -100,7 +100,7 @@
 	Routes  []Route
 	Pools   map[string]Pool
 	Limits  Limits
-	// Tenants are those whose requests are taken; nil says that requests need no key.
+	// Tenants are the tenants whose requests are accepted; nil means that requests need no API key.
 	Tenants *tenant.Directory
 	byHost  map[string][]int
 }
@@ -115,7 +115,7 @@
 	return c
 }
 
-// Match returns the route of the host with the longest prefix that begins the path.
+// Match returns the host's route with the longest prefix that matches the path.
 func (c *Catalog) Match(host, path string) (Route, bool) {
 	best := -1
 	for _, i := range c.byHost[strings.ToLower(host)] {
@@ -132,7 +132,7 @@
 	return c.Routes[best], true
 }
 
-// Named returns the route of a name.
+// Named returns the route with the given name.
 func (c *Catalog) Named(name string) (Route, bool) {
 	for _, route := range c.Routes {
 		if route.Name == name {
@@ -142,7 +142,8 @@
 	return Route{}, false
 }
 
-// Priority ranks the work of a tenant on a route, 0 first: the tenant's own priority goes before the route's.
+// Priority returns the priority of a tenant's work on a route, 0 being the highest. The tenant's own priority overrides the
+// route's.
 func (c *Catalog) Priority(route Route, tenantName string) int {
 	if known, ok := c.Tenants.Named(tenantName); ok && known.Ranked {
 		return known.Priority
@@ -150,7 +151,8 @@
 	return route.Priority
 }
 
-// Regions returns the regions whose engines may run the work of a tenant on a route, nil for all: both the route and the tenant bind.
+// Regions returns the regions whose engines may run a tenant's work on a route, nil for all. If both the route and the tenant
+// limit regions, the result is the intersection, which may be empty but is not nil.
 func (c *Catalog) Regions(route Route, tenantName string) []string {
 	known, ok := c.Tenants.Named(tenantName)
 	switch {
@@ -168,7 +170,7 @@
 	return common
 }
 
-// RequestedPools returns the pools that callers' requests are sent to, unlike those that only run items of jobs.
+// RequestedPools returns the pools that receive requests of callers, without the pools that only run items of jobs.
 func (c *Catalog) RequestedPools() map[string]bool {
 	pools := make(map[string]bool)
 	for _, route := range c.Routes {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestMatchTakesTheLongestPrefix(t *testing.T) {
+func TestMatchReturnsLongestPrefix(t *testing.T) {
 	routes := []catalog.Route{
 		{Name: "all", Host: "a.example", Prefix: "/"},
 		{Name: "deep", Host: "a.example", Prefix: "/x/y/"},
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestSplitKeepsShares checks that after any number of requests every part is within one request of its share, whatever the
-// weights and wherever the round begins.
-func TestSplitKeepsShares(t *testing.T) {
+// TestSplitMatchesWeights checks that after any number of requests the count of every target differs from its share by at most
+// the number of targets, for all weights and all start positions.
+func TestSplitMatchesWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(1, 100), 2, 5).Draw(t, "weights")
 		start := rapid.Float64Range(0, 0.999).Draw(t, "start")
@@ -59,13 +59,13 @@
 			share := float64(requests) * float64(weight) / float64(total)
 			got := counts[string(rune('a'+i))]
 			if math.Abs(float64(got)-share) > float64(len(weights)) {
-				t.Fatalf("part %d of weights %v got %d of %d, its share is %.1f", i, weights, got, requests, share)
+				t.Fatalf("target %d of weights %v received %d of %d requests; its share is %.1f", i, weights, got, requests, share)
 			}
 		}
 	})
 }
 
-func TestSplitGivesNothingToAPartWithoutWeight(t *testing.T) {
+func TestSplitSkipsTargetWithoutWeight(t *testing.T) {
 	is := is.New(t)
 	route := catalog.Route{Name: "r", Targets: []catalog.Target{{Pool: "a", Weight: 0}, {Pool: "b", Weight: 2}}}
 	splitter := catalog.NewSplitter(func() float64 { return 0 })
@@ -74,8 +74,9 @@
 	}
 }
 
-// TestHolderNeverGoesBack checks that an older configuration, as a lagging or repeated read brings it, changes nothing.
-func TestHolderNeverGoesBack(t *testing.T) {
+// TestHolderIgnoresOlderVersions checks that an older or equal version of the configuration, such as a lagging or repeated read
+// returns it, changes nothing and notifies no listener.
+func TestHolderIgnoresOlderVersions(t *testing.T) {
 	is := is.New(t)
 	holder := catalog.NewHolder()
 	is.True(holder.Set(catalog.New(5, nil, nil, catalog.Limits{})))
@@ -85,7 +86,7 @@
 	is.Equal(holder.Current().Version, int64(5))
 	select {
 	case <-changed:
-		t.Fatal("an older version was announced")
+		t.Fatal("Set with an older version notified listeners")
 	default:
 	}
 	is.True(holder.SetVersion("m", 2))
--- a/internal/catalog/holder.go
+++ b/internal/catalog/holder.go
@@ -7,7 +7,8 @@
 	"github.com/hillfork/hillfork/internal/broadcast"
 )
 
-// Holder holds the newest catalog and the newest named weight versions. Both only rise. It is safe for concurrent use.
+// Holder holds the newest catalog and the newest published weight version of each model. Versions of both only increase. It is
+// safe for concurrent use.
 type Holder struct {
 	mutex    sync.Mutex
 	current  *Catalog
@@ -20,7 +21,7 @@
 	return &Holder{versions: make(map[string]int64), changed: broadcast.New()}
 }
 
-// Set installs a catalog if it is newer than the one held, and tells whether it was.
+// Set installs a catalog if it is newer than the current one, and reports whether it was installed.
 func (h *Holder) Set(next *Catalog) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -32,14 +33,15 @@
 	return true
 }
 
-// Current returns the catalog in force, nil before the first.
+// Current returns the current catalog, nil before the first Set.
 func (h *Holder) Current() *Catalog {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.current
 }
 
-// Priority ranks the work of a tenant on a route by the catalog in force, by the route alone before the first.
+// Priority returns the priority of a tenant's work on a route by the current catalog, or the route's own priority if there is no
+// catalog yet.
 func (h *Holder) Priority(route Route, tenantName string) int {
 	current := h.Current()
 	if current == nil {
@@ -48,7 +50,8 @@
 	return current.Priority(route, tenantName)
 }
 
-// Regions returns the regions whose engines may run the work of a tenant on a route, nil for all, by the catalog in force.
+// Regions returns the regions whose engines may run a tenant's work on a route by the current catalog, nil for all. If there is
+// no catalog yet, the route's own regions apply.
 func (h *Holder) Regions(route Route, tenantName string) []string {
 	current := h.Current()
 	if current == nil {
@@ -57,7 +60,7 @@
 	return current.Regions(route, tenantName)
 }
 
-// SetVersion records that a version of a model was named, and tells whether it is newer.
+// SetVersion records a published weight version of a model, and reports whether it is newer than the recorded one.
 func (h *Holder) SetVersion(model string, version int64) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -69,14 +72,14 @@
 	return true
 }
 
-// Versions returns the newest named version of each model.
+// Versions returns the newest published weight version of each model.
 func (h *Holder) Versions() map[string]int64 {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return maps.Clone(h.versions)
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when the catalog or a weight version changes next.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/catalog/regions_test.go
+++ b/internal/catalog/regions_test.go
@@ -8,21 +8,22 @@
 	"github.com/matryer/is"
 )
 
-// TestRouteAndTenantBothBindRegions checks which regions the work of a tenant on a route may run in.
-func TestRouteAndTenantBothBindRegions(t *testing.T) {
+// TestRegionsIntersectsRouteAndTenant checks which regions may run a tenant's work on a route, including that regions without a
+// common member yield an empty list and not nil, which would allow all regions.
+func TestRegionsIntersectsRouteAndTenant(t *testing.T) {
 	is := is.New(t)
 	c := catalog.New(1, nil, nil, catalog.Limits{})
-	free, bound := catalog.Route{}, catalog.Route{Regions: []string{"recife", "fortaleza"}}
-	is.Equal(c.Regions(free, ""), nil)
-	is.Equal(c.Regions(bound, "anybody"), bound.Regions)
+	unrestricted, restricted := catalog.Route{}, catalog.Route{Regions: []string{"recife", "fortaleza"}}
+	is.Equal(c.Regions(unrestricted, ""), nil)
+	is.Equal(c.Regions(restricted, "anybody"), restricted.Regions)
 
 	c.Tenants = tenant.NewDirectory([]tenant.Tenant{
 		{Name: "free"}, {Name: "home", Regions: []string{"fortaleza"}}, {Name: "abroad", Regions: []string{"rabat"}},
 	})
-	is.Equal(c.Regions(bound, "free"), bound.Regions)
-	is.Equal(c.Regions(free, "home"), []string{"fortaleza"})
-	is.Equal(c.Regions(bound, "home"), []string{"fortaleza"})
-	nowhere := c.Regions(bound, "abroad")
-	is.True(nowhere != nil)
-	is.Equal(len(nowhere), 0)
+	is.Equal(c.Regions(restricted, "free"), restricted.Regions)
+	is.Equal(c.Regions(unrestricted, "home"), []string{"fortaleza"})
+	is.Equal(c.Regions(restricted, "home"), []string{"fortaleza"})
+	none := c.Regions(restricted, "abroad")
+	is.True(none != nil)
+	is.Equal(len(none), 0)
 }
--- a/internal/catalog/split.go
+++ b/internal/catalog/split.go
@@ -2,8 +2,9 @@
 
 import "sync"
 
-// Splitter spreads the requests of each route over its targets by weight, so that after any number of requests every part
-// is within as many requests of its share as the route has parts. It is safe for concurrent use.
+// Splitter distributes the requests of each route over its targets by weight (smooth weighted round-robin). After any number of
+// requests, the count of every target differs from its share by at most the number of the route's targets. It is safe for
+// concurrent use.
 type Splitter struct {
 	mutex  sync.Mutex
 	start  func() float64
@@ -14,8 +15,8 @@
 	credit map[string]float64
 }
 
-// NewSplitter returns a splitter. start yields where a route's round begins, from 0 to 1, so that many nodes do not all
-// begin with the same part.
+// NewSplitter returns a splitter. start returns the initial position in a route's cycle, from 0 to 1, so that many nodes do not
+// all begin with the same target.
 func NewSplitter(start func() float64) *Splitter {
 	return &Splitter{start: start, routes: make(map[string]*splitState)}
 }
@@ -41,7 +42,8 @@
 	return state.next(route.Targets)
 }
 
-// next adds each part's weight to its credit and takes the part with the most, which pays the sum of the weights.
+// next adds each target's weight to its credit, picks the target with the highest credit and subtracts the sum of all weights
+// from the credit of the picked target.
 func (s *splitState) next(targets []Target) string {
 	total := 0.0
 	best := ""
