--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,5 +1,5 @@
-// Package tenant tells whose a request is by the API key that came with it. Keys are kept as digests only, so that no key can come out
-// of a process by a log line, a dump or a mistake.
+// Package tenant identifies the tenant of a request by its API key. Only digests of keys are stored, so that no key can leak from
+// a process through log lines or memory dumps.
 package tenant
 
 import (
@@ -10,12 +10,13 @@
 // Tenant is one customer of the service.
 type Tenant struct {
 	Name string
-	// Priority ranks the tenant's work, 0 first, in place of its route's. It counts only if Ranked is set.
+	// Priority is the priority of the tenant's work, 0 being the highest, and overrides the priority of the route. It is only
+	// used if Ranked is set.
 	Priority int
 	Ranked   bool
-	// Regions are those whose engines may run the tenant's requests, nil for all.
+	// Regions are the regions whose engines may run the tenant's requests, nil for all.
 	Regions []string
-	// Keys are the API keys by which the tenant's requests are known.
+	// Keys are the digests of the tenant's API keys.
 	Keys []Digest
 }
 
@@ -27,10 +28,11 @@
 	return sha256.Sum256([]byte(key))
 }
 
-// fingerprintBytes of a digest tell the keys of some ten thousand tenants apart and say nothing useful of the key.
+// fingerprintBytes is the number of leading bytes of a digest that a fingerprint consists of: enough to distinguish the keys of about
+// ten thousand tenants, and too few to reveal anything useful about a key.
 const fingerprintBytes = 6
 
-// Fingerprint names a key in logs, empty for no key.
+// Fingerprint returns an identifier of a key for logs, empty for an empty key.
 func Fingerprint(key string) string {
 	if key == "" {
 		return ""
@@ -39,15 +41,15 @@
 	return hex.EncodeToString(digest[:fingerprintBytes])
 }
 
-// Directory holds the tenants of one version of the configuration. It does not change once it is made, so that look-ups take no lock.
-// The nil directory is that of a configuration without tenants.
+// Directory holds the tenants of one version of the configuration. It is immutable, so that look-ups take no lock. A nil
+// directory is a directory without tenants.
 type Directory struct {
 	tenants []Tenant
 	byKey   map[Digest]int
 	byName  map[string]int
 }
 
-// NewDirectory returns a directory of tenants. A key that stands at two tenants is the first one's.
+// NewDirectory returns a directory of tenants. A key that is listed for two tenants belongs to the first.
 func NewDirectory(tenants []Tenant) *Directory {
 	d := &Directory{tenants: tenants, byKey: make(map[Digest]int), byName: make(map[string]int, len(tenants))}
 	for i, t := range tenants {
@@ -63,7 +65,8 @@
 	return d
 }
 
-// Find returns the tenant that a key belongs to. The key is looked up by its digest: how long that takes tells nothing of other keys.
+// Find returns the tenant that a key belongs to. The key is looked up by its digest, so that the duration of the look-up reveals
+// nothing about other keys.
 func (d *Directory) Find(key string) (Tenant, bool) {
 	if d == nil || key == "" {
 		return Tenant{}, false
@@ -75,7 +78,7 @@
 	return d.tenants[i], true
 }
 
-// Named returns the tenant of a name.
+// Named returns the tenant with the given name.
 func (d *Directory) Named(name string) (Tenant, bool) {
 	if d == nil {
 		return Tenant{}, false
@@ -87,7 +90,7 @@
 	return d.tenants[i], true
 }
 
-// Len returns how many tenants there are.
+// Len returns the number of tenants.
 func (d *Directory) Len() int {
 	if d == nil {
 		return 0
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -20,7 +20,7 @@
 	return tenant.NewDirectory(tenants)
 }
 
-func TestAKeyFindsItsTenant(t *testing.T) {
+func TestFindReturnsTenantOfKey(t *testing.T) {
 	is := is.New(t)
 	tenants := directory(100)
 	for _, key := range []string{"key42", "second42"} {
@@ -39,7 +39,7 @@
 	is.True(!ok)
 }
 
-func TestNoDirectoryKnowsNobody(t *testing.T) {
+func TestNilDirectoryHasNoTenants(t *testing.T) {
 	is := is.New(t)
 	var none *tenant.Directory
 	_, ok := none.Find("key1")
@@ -49,8 +49,8 @@
 	is.Equal(none.Len(), 0)
 }
 
-// TestAKeyAtTwoTenantsIsTheFirstOnes checks that a configuration which names a key twice still gives one answer.
-func TestAKeyAtTwoTenantsIsTheFirstOnes(t *testing.T) {
+// TestDuplicateKeyBelongsToFirstTenant checks that a configuration which lists a key twice still gives a deterministic result.
+func TestDuplicateKeyBelongsToFirstTenant(t *testing.T) {
 	is := is.New(t)
 	shared := []tenant.Digest{tenant.DigestOf("shared")}
 	tenants := tenant.NewDirectory([]tenant.Tenant{{Name: "a", Keys: shared}, {Name: "b", Keys: shared}})
@@ -59,7 +59,7 @@
 	is.Equal(found.Name, "a")
 }
 
-func TestAFingerprintDoesNotTellTheKey(t *testing.T) {
+func TestFingerprintDoesNotRevealKey(t *testing.T) {
 	is := is.New(t)
 	is.Equal(tenant.Fingerprint(""), "")
 	is.Equal(tenant.Fingerprint("timaj3nr26tta828m82t"), tenant.Fingerprint("timaj3nr26tta828m82t"))
@@ -67,7 +67,7 @@
 	is.True(!strings.Contains(tenant.Fingerprint("timaj3nr26tta828m82t"), "timaj"))
 }
 
-// FuzzFind checks that no text but a key finds a tenant.
+// FuzzFind checks that only the exact keys find a tenant.
 func FuzzFind(f *testing.F) {
 	tenants := directory(10)
 	for _, seed := range []string{"", "key1", "key1\x00", "\xff\xfe", strings.Repeat("k", 100_000), "key1,key2"} {
@@ -80,7 +80,7 @@
 			wanted = wanted || key == fmt.Sprint("key", i) || key == fmt.Sprint("second", i)
 		}
 		if ok != wanted {
-			t.Errorf("key %q finds %q", key, found.Name)
+			t.Errorf("Find(%q) returned tenant %q, which is not the expected result", key, found.Name)
 		}
 	})
 }
@@ -88,11 +88,11 @@
 func TestFindAllocatesNothing(t *testing.T) {
 	tenants := directory(10_000)
 	if allocated := testing.AllocsPerRun(100, func() { tenants.Find("key4242") }); allocated > 0 {
-		t.Errorf("a look-up allocates %v times", allocated)
+		t.Errorf("Find allocates %v times per call", allocated)
 	}
 }
 
-// BenchmarkFind looks a key up among those of 10,000 tenants.
+// BenchmarkFind measures the look-up of a key among those of 10,000 tenants.
 func BenchmarkFind(b *testing.B) {
 	tenants := directory(10_000)
 	b.ReportAllocs()
