--- a/internal/storepace/storepace.go
+++ b/internal/storepace/storepace.go
@@ -1,6 +1,7 @@
-// Package storepace keeps a process within its part of the reads that the store takes from all processes together. Nobody
-// tells a process how many others there are; it learns from refusals, as TCP learns the capacity of a path: each refusal
-// lowers its rate by a factor, time without one raises it by a step. Reads of the operator's records are few and never wait.
+// Package storepace limits a process to its share of the reads that the store serves to all processes together. A process does
+// not know how many others there are; it adapts its rate to refusals, as TCP adapts to the capacity of a path (additive increase,
+// multiplicative decrease): each refusal lowers the rate by a factor, and time without a refusal raises it step by step. Reads of
+// the operator's records are few and are never delayed.
 package storepace
 
 import (
@@ -14,53 +15,57 @@
 )
 
 const (
-	// startShare and mostShare are the parts of the store's reads that a process takes at first and at most.
+	// startShare and maxShare are the initial and the maximum share of the store's reads that a process uses.
 	startShare = 1.0 / 16
-	mostShare  = 1.0 / 8
-	// leastRate is the fewest reads a second: enough to read each partition every few seconds.
-	leastRate = 4.0
-	// decrease is the factor of a refusal, increase the part of the rate that a second without one adds.
-	decrease = 0.7
-	increase = 0.05
-	// settle is how long after a decrease further refusals belong to the rate before it.
-	settle = 250 * time.Millisecond
-	// burst is how many reads may follow each other at once.
+	maxShare   = 1.0 / 8
+	// minRate is the minimum number of reads per second: enough to read each partition every few seconds.
+	minRate = 4.0
+	// decreaseFactor is the factor applied to the rate after a refusal; increasePerSecond is the fraction of the rate that is
+	// added after each second without a refusal.
+	decreaseFactor    = 0.7
+	increasePerSecond = 0.05
+	// decreaseInterval is the time after a decrease during which further refusals are attributed to the previous rate.
+	decreaseInterval = 250 * time.Millisecond
+	// burst is the number of reads that may be sent at once.
 	burst = 24
-	// turnedAwayFor is how long a store has to refuse every call of a process for the cause to be another than too many calls: a process
-	// that slows down by decrease gets some through long before that, at any number of others. Stores turn single machines away for seconds.
-	turnedAwayFor = 2 * time.Second
-	// regained is the part of its former rate at which a process goes on once it is no longer turned away. It has to read what it missed, and
-	// owners are dealt partitions at once: at the rate that 9 s of refusals had left, a partition of 1,500 records took 5.7 s to take over.
-	regained = 0.5
-	// stretchMost bounds how much longer reads are held open when the rate is low.
-	stretchMost = 5.0
+	// outageThreshold is how long the store must refuse every call of a process before the cause is assumed to be other than too
+	// many calls: a process that keeps lowering its rate by decreaseFactor gets some calls served long before that, however many
+	// other processes there are. Stores sometimes reject single machines for seconds.
+	outageThreshold = 2 * time.Second
+	// resumeShare is the fraction of its former rate at which a process continues after such an outage. It has to read what it
+	// missed, and owners are assigned partitions at once: at the rate that was left after 9 s of refusals, taking over a
+	// partition of 1,500 records took 5.7 s.
+	resumeShare = 0.5
+	// maxStretch limits the factor by which reads are held open longer when the rate is low.
+	maxStretch = 5.0
 )
 
-// Log is a log whose reads keep to a rate.
+// Log is a keyedlog.Log whose reads are rate-limited.
 type Log struct {
 	keyedlog.Log
 	limiter *rate.Limiter
 
-	mutex   sync.Mutex
-	current float64
-	start   float64
-	most    float64
-	changed time.Time
-	// served is when the store served a call last, former the rate at that time.
-	served time.Time
-	former float64
+	mutex       sync.Mutex
+	currentRate float64
+	startRate   float64
+	maxRate     float64
+	lastChange  time.Time
+	// lastServed is when the store last served a call, servedRate the rate at that time.
+	lastServed time.Time
+	servedRate float64
 }
 
-// New paces the reads of a log of which all processes together may make so many reads a second.
+// New limits the reads of a log of which all processes together may make readsPerS reads per second.
 func New(log keyedlog.Log, readsPerS float64) *Log {
-	start := max(leastRate, readsPerS*startShare)
+	startRate := max(minRate, readsPerS*startShare)
 	return &Log{
-		Log: log, limiter: rate.NewLimiter(rate.Limit(start), burst), current: start, start: start,
-		most: max(leastRate, readsPerS*mostShare), changed: time.Now(), served: time.Now(), former: start,
+		Log: log, limiter: rate.NewLimiter(rate.Limit(startRate), burst), currentRate: startRate, startRate: startRate,
+		maxRate: max(minRate, readsPerS*maxShare), lastChange: time.Now(), lastServed: time.Now(), servedRate: startRate,
 	}
 }
 
-// Read returns records, once the rate allows a read. The store is asked to hold the read open for longer the lower the rate is.
+// Read returns records after waiting for the rate limiter. The lower the rate is, the longer the store is asked to hold the read
+// open.
 func (l *Log) Read(
 	ctx context.Context, partition keyedlog.Partition, span keyedlog.Span,
 ) (keyedlog.Batch, error) {
@@ -71,11 +76,11 @@
 		span.Wait = time.Duration(l.stretch() * float64(span.Wait))
 	}
 	batch, err := l.Log.Read(ctx, partition, span)
-	l.learn(err)
+	l.adapt(err)
 	return batch, err
 }
 
-// Newest returns a page of the newest records, once the rate allows a read.
+// Newest returns a page of the newest records after waiting for the rate limiter.
 func (l *Log) Newest(ctx context.Context, partition keyedlog.Partition, afterKey string) (keyedlog.Page, error) {
 	if partition.Topic != keyedlog.TopicOperator {
 		if err := l.limiter.Wait(ctx); err != nil {
@@ -83,53 +88,53 @@
 		}
 	}
 	page, err := l.Log.Newest(ctx, partition, afterKey)
-	l.learn(err)
+	l.adapt(err)
 	return page, err
 }
 
-// Owners lists who holds the partitions of a group. A machine that looks has its own pace, far below the rate, and a partition that
-// waits for an owner is not to wait for reads too; a refusal counts as one of a read.
+// Owners lists the owners of a group's partitions. It is not rate-limited: a caller that polls it has its own interval, far below
+// the rate, and a partition that waits for an owner must not wait for reads as well. A refusal counts like one of a read.
 func (l *Log) Owners(ctx context.Context, group string) ([]keyedlog.Owner, error) {
 	owners, err := l.Log.Owners(ctx, group)
-	l.learn(err)
+	l.adapt(err)
 	return owners, err
 }
 
-// Rate returns how many reads a second the process makes at most now.
+// Rate returns the current limit in reads per second.
 func (l *Log) Rate() float64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.current
+	return l.currentRate
 }
 
 func (l *Log) stretch() float64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return min(stretchMost, max(1, l.start/l.current))
+	return min(maxStretch, max(1, l.startRate/l.currentRate))
 }
 
-// learn adapts the rate to what the store answered.
-func (l *Log) learn(err error) {
+// adapt updates the rate after a call: a refusal lowers it, and a served call may raise it.
+func (l *Log) adapt(err error) {
 	now := time.Now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	passed := now.Sub(l.changed)
+	elapsed := now.Sub(l.lastChange)
 	if err == nil {
-		defer func() { l.served, l.former = now, l.current }()
+		defer func() { l.lastServed, l.servedRate = now, l.currentRate }()
 	}
 	switch {
 	case errors.Is(err, keyedlog.ErrThrottled):
-		if passed < settle {
+		if elapsed < decreaseInterval {
 			return
 		}
-		l.current = max(leastRate, decrease*l.current)
-	case err == nil && now.Sub(l.served) >= turnedAwayFor && l.current < regained*l.former:
-		l.current = regained * l.former
-	case err == nil && passed >= time.Second:
-		l.current = min(l.most, l.current*(1+increase*min(10, passed.Seconds())))
+		l.currentRate = max(minRate, decreaseFactor*l.currentRate)
+	case err == nil && now.Sub(l.lastServed) >= outageThreshold && l.currentRate < resumeShare*l.servedRate:
+		l.currentRate = resumeShare * l.servedRate
+	case err == nil && elapsed >= time.Second:
+		l.currentRate = min(l.maxRate, l.currentRate*(1+increasePerSecond*min(10, elapsed.Seconds())))
 	default:
 		return
 	}
-	l.changed = now
-	l.limiter.SetLimit(rate.Limit(l.current))
+	l.lastChange = now
+	l.limiter.SetLimit(rate.Limit(l.currentRate))
 }
--- a/internal/storepace/storepace_test.go
+++ b/internal/storepace/storepace_test.go
@@ -12,40 +12,41 @@
 	"github.com/matryer/is"
 )
 
-// limited is a store that takes so many reads a second from all callers together.
-type limited struct {
-	mutex   sync.Mutex
-	perS    int
-	second  int64
-	taken   int
-	refused int
+// rateLimitedStore is a rule of the store that serves perS reads per second to all callers together and refuses the others.
+type rateLimitedStore struct {
+	mutex    sync.Mutex
+	perS     int
+	second   int64
+	received int
+	refused  int
 }
 
-func (l *limited) rule(call memorylog.Call) memorylog.Fault {
+func (l *rateLimitedStore) rule(call memorylog.Call) memorylog.Fault {
 	if call.Operation != "read" {
 		return memorylog.None
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if second := time.Now().Unix(); second != l.second {
-		l.second, l.taken = second, 0
+		l.second, l.received = second, 0
 	}
-	l.taken++
-	if l.taken > l.perS {
+	l.received++
+	if l.received > l.perS {
 		l.refused++
 		return memorylog.Throttled
 	}
 	return memorylog.None
 }
 
-// TestManyProcessesShareTheReads lets a hundred processes read as fast as they may, and checks that they come to rest near
-// what the store takes, that few reads are refused then, and that the operator's records are read all the while.
-func TestManyProcessesShareTheReads(t *testing.T) {
+// TestProcessesConvergeToStoreCapacity runs a hundred processes that read as fast as they may, and checks that their total rate
+// converges to near the store's capacity, that few reads are refused then, and that reads of the operator's records are not
+// delayed.
+func TestProcessesConvergeToStoreCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const processes, perS = 100, 2000
 		store := memorylog.New(memorylog.Config{Partitions: 4})
-		limit := &limited{perS: perS}
+		limit := &rateLimitedStore{perS: perS}
 		store.SetRule(limit.rule)
 		ctx := t.Context()
 		var running sync.WaitGroup
@@ -88,8 +89,8 @@
 	})
 }
 
-// TestFewProcessesAreNotSlowed checks that a process that is refused nothing reads as it likes.
-func TestFewProcessesAreNotSlowed(t *testing.T) {
+// TestReadsWithoutRefusalsAreNotSlowed checks that a process whose reads are never refused is not slowed down.
+func TestReadsWithoutRefusalsAreNotSlowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memorylog.New(memorylog.Config{Partitions: 4})
@@ -104,10 +105,10 @@
 	})
 }
 
-// TestAProcessThatWasTurnedAwayCatchesUp answers a store that refuses one machine for 9 s and serves all others: the machine is dealt partitions
-// as soon as it is back, and callers wait for what it has to read before it goes on with their work. The refusals say nothing of how many calls the
-// store takes.
-func TestAProcessThatWasTurnedAwayCatchesUp(t *testing.T) {
+// TestRateRecoversAfterOutage simulates a store that refuses one machine for 9 s and serves all others. The machine is assigned
+// partitions as soon as it is back, and callers wait until it has read the records that it needs to continue their work. The
+// refusals say nothing about how many calls the store can serve, so the rate must recover at once.
+func TestRateRecoversAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memorylog.New(memorylog.Config{Partitions: 4})
@@ -119,23 +120,24 @@
 		is.NoErr(read())
 		before := paced.Rate()
 		store.SetRule(func(memorylog.Call) memorylog.Fault { return memorylog.Throttled })
-		for began := time.Now(); time.Since(began) < 9*time.Second; {
+		for started := time.Now(); time.Since(started) < 9*time.Second; {
 			is.True(read() != nil)
 			time.Sleep(50 * time.Millisecond)
 		}
-		is.Equal(paced.Rate(), leastRate)
+		is.Equal(paced.Rate(), minRate)
 		store.Heal()
-		began := time.Now()
+		started := time.Now()
 		for range 100 {
 			is.NoErr(read())
 		}
-		is.True(time.Since(began) < time.Second)
+		is.True(time.Since(started) < time.Second)
 		is.True(paced.Rate() < before)
 	})
 }
 
-// TestRefusalsAmongServedCallsStillSlowDown: a process of which some calls are served is one of too many.
-func TestRefusalsAmongServedCallsStillSlowDown(t *testing.T) {
+// TestRefusalsAmongServedCallsLowerRate checks that refusals lower the rate if some calls are served: this is how a store with
+// too many callers responds, so the rate must not be restored as after an outage.
+func TestRefusalsAmongServedCallsLowerRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memorylog.New(memorylog.Config{Partitions: 4})
@@ -148,10 +150,10 @@
 			}
 			return memorylog.Throttled
 		})
-		for began := time.Now(); time.Since(began) < 10*time.Second; {
+		for started := time.Now(); time.Since(started) < 10*time.Second; {
 			_, _ = paced.Read(t.Context(), keyedlog.Partition{Topic: keyedlog.TopicJobs}, keyedlog.Span{})
 			time.Sleep(50 * time.Millisecond)
 		}
-		is.True(paced.Rate() < 2*leastRate)
+		is.True(paced.Rate() < 2*minRate)
 	})
 }
