--- a/internal/storetimeout/estimator.go
+++ b/internal/storetimeout/estimator.go
@@ -1,6 +1,6 @@
-// Package storetimeout bounds the calls to the store by how long it has lately taken to answer, as TCP bounds its
-// retransmissions (RFC 6298). A store that loses an answer says nothing further on that connection; a caller that waited for
-// the longest time that a slow store may take would stand still for seconds after each. It repeats nothing.
+// Package storetimeout limits the duration of calls to the store by its recent response times, as TCP does with its
+// retransmission timeout (RFC 6298). A store that loses an answer sends nothing further on that connection; a caller that waited
+// as long as the slowest store may take would be blocked for seconds after each lost answer. The package does not retry calls.
 package storetimeout
 
 import (
@@ -9,59 +9,61 @@
 )
 
 const (
-	// least and most bound the timeout, initial is the one before the first answer.
-	least   = 120 * time.Millisecond
-	most    = 2 * time.Second
-	initial = 700 * time.Millisecond
-	// gains of the smoothed time and its variation, and how many variations are allowed for (RFC 6298, section 2).
-	gain          = 0.125
-	variationGain = 0.25
-	variations    = 4
+	// minTimeout and maxTimeout limit the timeout; initialTimeout is used before the first answer.
+	minTimeout     = 120 * time.Millisecond
+	maxTimeout     = 2 * time.Second
+	initialTimeout = 700 * time.Millisecond
+	// smoothedGain and variationGain are the gains of the smoothed response time and of its variation; variationFactor is the
+	// multiple of the variation that is added to the smoothed time (RFC 6298, section 2).
+	smoothedGain    = 0.125
+	variationGain   = 0.25
+	variationFactor = 4
 )
 
-// estimator tracks how long answers take.
+// estimator tracks the response times of a kind of call.
 type estimator struct {
 	mutex     sync.Mutex
 	smoothed  time.Duration
 	variation time.Duration
-	// backoff doubles the timeout for each call that timed out since the last answer.
+	// backoff is the number of calls that timed out since the last answer; each one doubles the timeout.
 	backoff uint
 }
 
-// timeout returns how long to wait for an answer now.
+// timeout returns the timeout of a call that is sent now.
 func (e *estimator) timeout() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return min(most, e.base()<<e.backoff)
+	return min(maxTimeout, e.base()<<e.backoff)
 }
 
-// base returns the timeout without backoff. The mutex must be held.
+// base returns the timeout without backoff. The caller must hold mutex.
 func (e *estimator) base() time.Duration {
 	if e.smoothed == 0 {
-		return initial
+		return initialTimeout
 	}
-	return max(least, e.smoothed+variations*e.variation)
+	return max(minTimeout, e.smoothed+variationFactor*e.variation)
 }
 
-// answered takes the time that an answer took.
-func (e *estimator) answered(took time.Duration) {
+// recordAnswer updates the estimate with the response time of an answered call.
+func (e *estimator) recordAnswer(elapsed time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.backoff = 0
 	if e.smoothed == 0 {
-		e.smoothed, e.variation = took, took/2
+		e.smoothed, e.variation = elapsed, elapsed/2
 		return
 	}
-	deviation := (took - e.smoothed).Abs()
+	deviation := (elapsed - e.smoothed).Abs()
 	e.variation += time.Duration(variationGain * float64(deviation-e.variation))
-	e.smoothed += time.Duration(gain * float64(took-e.smoothed))
+	e.smoothed += time.Duration(smoothedGain * float64(elapsed-e.smoothed))
 }
 
-// expired takes that a call timed out. Many calls may time out together; each timeout counts for the calls after it only.
-func (e *estimator) expired(allowed time.Duration) {
+// recordTimeout updates the backoff after a call timed out whose timeout was allowed. Many calls may time out together; the
+// backoff increases only if the call had been sent with at least the current timeout.
+func (e *estimator) recordTimeout(allowed time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if current := e.base() << e.backoff; current <= allowed && current < most {
+	if current := e.base() << e.backoff; current <= allowed && current < maxTimeout {
 		e.backoff++
 	}
 }
--- a/internal/storetimeout/log.go
+++ b/internal/storetimeout/log.go
@@ -10,74 +10,76 @@
 	"github.com/hillfork/hillfork/internal/keyedlog"
 )
 
-// readSlack is how long a read that the store holds open may take beyond the time it was asked to wait.
+// readSlack is the time that a read that the store holds open may take beyond the requested wait.
 const readSlack = 300 * time.Millisecond
 
-// A join waits for a part of the member's lifetime at most, so that it is heard in time when the store is back.
+// A join may take maxGroupTimeout or the member's lifetime divided by lifetimeDivisor, whichever is shorter, so that another join
+// can reach the store in time once it is back.
 const (
-	groupMost  = 600 * time.Millisecond
-	groupShare = 2
+	maxGroupTimeout = 600 * time.Millisecond
+	lifetimeDivisor = 2
 )
 
-// Log is a log whose calls are bounded by how long the store has lately taken.
+// Log is a keyedlog.Log whose calls are limited by the store's recent response times.
 type Log struct {
 	keyedlog.Log
 	writes estimator
 	groups estimator
 
 	mutex sync.Mutex
-	// reads holds what is known of each topic's reads: a page of all engines takes many times as long as one of the operator's records, and would be
-	// given up and asked for again by the time that those take.
+	// reads holds the state of each topic's reads. Topics are kept apart because a page of all engines takes many times as long
+	// as one of the operator's records; with a timeout based on the latter it would be abandoned and requested again.
 	reads map[keyedlog.Topic]*topicReads
-	// underWay holds the calls that wait for an answer, heard is when one came last, returned when one came after the store was away.
-	underWay map[*call]struct{}
-	heard    time.Time
-	returned time.Time
+	// pending holds the calls that wait for an answer. lastAnswer is the time of the last answer, recoveredAt the time of the
+	// last answer that ended an outage of the store.
+	pending     map[*call]struct{}
+	lastAnswer  time.Time
+	recoveredAt time.Time
 }
 
-// call is one that waits for an answer.
+// call is a call that waits for an answer.
 type call struct {
-	began  time.Time
-	cancel context.CancelFunc
-	// lost says that it was given up since the store, which was away, answers others.
+	started time.Time
+	cancel  context.CancelFunc
+	// lost is set when the call was cancelled because it had been sent before the end of an outage.
 	lost atomic.Bool
 }
 
-// awayAfter is how long no call was answered when the store is taken to have been away. A member of a group calls several times as
-// often, and a slow store takes a quarter of it for an answer.
-const awayAfter = time.Second
+// outageThreshold is the time without any answer after which the store is assumed to have been unavailable. A member of a group
+// calls several times in this time, and a slow store answers within a quarter of it.
+const outageThreshold = time.Second
 
-// New bounds the calls of a log.
+// New limits the duration of a log's calls.
 func New(log keyedlog.Log) *Log {
 	return &Log{Log: log}
 }
 
-// bound makes a call under the timeout of an estimator.
-func bound[T any](ctx context.Context, l *Log, estimator *estimator, send func(ctx context.Context) (T, error)) (T, error) {
+// callWithTimeout makes a call with the timeout of an estimator, and updates the estimator with the result.
+func callWithTimeout[T any](ctx context.Context, l *Log, estimator *estimator, send func(ctx context.Context) (T, error)) (T, error) {
 	allowed := estimator.timeout()
 	callCtx, cancel := context.WithTimeout(ctx, allowed)
 	defer cancel()
-	own := l.begin(cancel)
-	defer l.end(own)
+	current := l.begin(cancel)
+	defer l.end(current)
 	answer, err := send(callCtx)
 	switch {
 	case err == nil || errors.Is(err, keyedlog.ErrFenced):
-		took := time.Since(own.began)
-		estimator.answered(took)
-		l.answered(own)
-	case ctx.Err() == nil && callCtx.Err() != nil && !own.lost.Load():
-		estimator.expired(allowed)
+		elapsed := time.Since(current.started)
+		estimator.recordAnswer(elapsed)
+		l.recordAnswer(current)
+	case ctx.Err() == nil && callCtx.Err() != nil && !current.lost.Load():
+		estimator.recordTimeout(allowed)
 	}
 	return answer, err
 }
 
-// topicReads is what is known of the reads of a topic: how long they take, and how many bytes come in time.
+// topicReads is the state of a topic's reads: their response times, and the number of bytes that are received within the timeout.
 type topicReads struct {
 	estimator
 	window window
 }
 
-// readsOf returns what is known of a topic's reads.
+// readsOf returns the state of a topic's reads, and creates it if needed.
 func (l *Log) readsOf(topic keyedlog.Topic) *topicReads {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -92,100 +94,102 @@
 	return found
 }
 
-// begin notes a call.
+// begin registers a call as pending.
 func (l *Log) begin(cancel context.CancelFunc) *call {
-	own := &call{began: time.Now(), cancel: cancel}
+	current := &call{started: time.Now(), cancel: cancel}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.underWay == nil {
-		l.underWay = make(map[*call]struct{})
+	if l.pending == nil {
+		l.pending = make(map[*call]struct{})
 	}
-	l.underWay[own] = struct{}{}
-	return own
+	l.pending[current] = struct{}{}
+	return current
 }
 
-func (l *Log) end(own *call) {
+func (l *Log) end(current *call) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	delete(l.underWay, own)
+	delete(l.pending, current)
 }
 
-// answered takes that a call was answered. One that was sent after the store's return ends those that were sent before it: they were
-// lost with the store, and would wait for seconds more although it is back.
-func (l *Log) answered(own *call) {
+// recordAnswer notes that a call was answered. If the call was sent after the end of an outage, all pending calls that were sent
+// before it are cancelled: they were lost in the outage, and would otherwise wait for seconds more although the store is
+// available again.
+func (l *Log) recordAnswer(current *call) {
 	now := time.Now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if !l.heard.IsZero() && now.Sub(l.heard) >= awayAfter {
-		l.returned = now
+	if !l.lastAnswer.IsZero() && now.Sub(l.lastAnswer) >= outageThreshold {
+		l.recoveredAt = now
 	}
-	l.heard = now
-	if own.began.Before(l.returned) {
+	l.lastAnswer = now
+	if current.started.Before(l.recoveredAt) {
 		return
 	}
-	for waiting := range l.underWay {
-		if waiting.began.Before(l.returned) {
+	for waiting := range l.pending {
+		if waiting.started.Before(l.recoveredAt) {
 			waiting.lost.Store(true)
 			waiting.cancel()
 		}
 	}
 }
 
-// Append adds records to a partition, within the time that appends take.
+// Append adds records to a partition, with a timeout based on the response times of appends.
 func (l *Log) Append(
 	ctx context.Context, partition keyedlog.Partition, records []keyedlog.Record, fence *keyedlog.Fence,
 ) (keyedlog.Appended, error) {
-	return bound(ctx, l, &l.writes, func(ctx context.Context) (keyedlog.Appended, error) {
+	return callWithTimeout(ctx, l, &l.writes, func(ctx context.Context) (keyedlog.Appended, error) {
 		return l.Log.Append(ctx, partition, records, fence)
 	})
 }
 
-// Newest returns a page of the newest records, within the time that pages take.
+// Newest returns a page of the newest records, with a timeout based on the response times of the topic's pages.
 func (l *Log) Newest(ctx context.Context, partition keyedlog.Partition, afterKey string) (keyedlog.Page, error) {
-	return bound(ctx, l, &l.readsOf(partition.Topic).estimator, func(ctx context.Context) (keyedlog.Page, error) {
+	return callWithTimeout(ctx, l, &l.readsOf(partition.Topic).estimator, func(ctx context.Context) (keyedlog.Page, error) {
 		return l.Log.Newest(ctx, partition, afterKey)
 	})
 }
 
-// Read returns records, within the time that the store was asked to wait and what pages take, and no more than come in that time. A read
-// that is not held open measures the store as a page does. A held read that brings nothing in its time lengthens the reads after it: all
-// processes read the same records at once, and a store whose link is full answers late; processes that gave up early and asked again would
-// fill the link with answers that nobody takes.
+// Read returns records. Its timeout is the time that the store was asked to wait and the timeout of the topic's pages, and it
+// requests no more bytes than are received in that time. A read that is not held open updates the response times as a page does.
+// A held read that times out lengthens the timeout of the reads after it: all processes read the same records at once, and a
+// store whose link is saturated answers late; processes that timed out early and repeated their reads would fill the link with
+// answers that are discarded.
 func (l *Log) Read(
 	ctx context.Context, partition keyedlog.Partition, span keyedlog.Span,
 ) (keyedlog.Batch, error) {
-	known := l.readsOf(partition.Topic)
-	span.Bytes = known.window.size(span.Bytes)
-	batch, err := l.readWithin(ctx, known, partition, span)
+	reads := l.readsOf(partition.Topic)
+	span.Bytes = reads.window.size(span.Bytes)
+	batch, err := l.readWithin(ctx, reads, partition, span)
 	switch {
 	case err == nil:
-		known.window.answered(batchBytes(batch))
+		reads.window.recordAnswer(batchBytes(batch))
 	case ctx.Err() == nil && errors.Is(err, context.DeadlineExceeded):
-		known.window.expired(span.Bytes)
+		reads.window.recordTimeout(span.Bytes)
 	}
 	return batch, err
 }
 
-// readWithin makes one read within its time.
+// readWithin makes one read within its timeout.
 func (l *Log) readWithin(
-	ctx context.Context, known *topicReads, partition keyedlog.Partition, span keyedlog.Span,
+	ctx context.Context, reads *topicReads, partition keyedlog.Partition, span keyedlog.Span,
 ) (keyedlog.Batch, error) {
 	if span.Wait == 0 {
-		return bound(ctx, l, &known.estimator, func(ctx context.Context) (keyedlog.Batch, error) {
+		return callWithTimeout(ctx, l, &reads.estimator, func(ctx context.Context) (keyedlog.Batch, error) {
 			return l.Log.Read(ctx, partition, span)
 		})
 	}
-	allowed := known.timeout()
+	allowed := reads.timeout()
 	callCtx, cancel := context.WithTimeout(ctx, span.Wait+readSlack+allowed)
 	defer cancel()
 	batch, err := l.Log.Read(callCtx, partition, span)
 	if err != nil && ctx.Err() == nil && callCtx.Err() != nil {
-		known.expired(allowed)
+		reads.recordTimeout(allowed)
 	}
 	return batch, err
 }
 
-// batchBytes returns how many bytes the records of a batch have.
+// batchBytes returns the size of a batch's keys and values in bytes.
 func batchBytes(batch keyedlog.Batch) int {
 	bytes := 0
 	for _, record := range batch.Records {
@@ -194,20 +198,20 @@
 	return bytes
 }
 
-// Join joins a group or remains in it, within the time that joins take.
+// Join joins a group or renews a membership, with a timeout based on the response times of joins.
 func (l *Log) Join(ctx context.Context, request keyedlog.JoinRequest) (keyedlog.Membership, error) {
-	ctx, cancel := context.WithTimeout(ctx, min(groupMost, request.Lifetime/groupShare))
+	ctx, cancel := context.WithTimeout(ctx, min(maxGroupTimeout, request.Lifetime/lifetimeDivisor))
 	defer cancel()
-	return bound(ctx, l, &l.groups, func(ctx context.Context) (keyedlog.Membership, error) {
+	return callWithTimeout(ctx, l, &l.groups, func(ctx context.Context) (keyedlog.Membership, error) {
 		return l.Log.Join(ctx, request)
 	})
 }
 
-// Owners lists who holds the partitions of a group, within the time that joins take.
+// Owners lists the owners of a group's partitions, with a timeout based on the response times of joins.
 func (l *Log) Owners(ctx context.Context, group string) ([]keyedlog.Owner, error) {
-	ctx, cancel := context.WithTimeout(ctx, groupMost)
+	ctx, cancel := context.WithTimeout(ctx, maxGroupTimeout)
 	defer cancel()
-	return bound(ctx, l, &l.groups, func(ctx context.Context) ([]keyedlog.Owner, error) {
+	return callWithTimeout(ctx, l, &l.groups, func(ctx context.Context) ([]keyedlog.Owner, error) {
 		return l.Log.Owners(ctx, group)
 	})
 }
--- a/internal/storetimeout/storetimeout_test.go
+++ b/internal/storetimeout/storetimeout_test.go
@@ -13,15 +13,15 @@
 
 var partition = keyedlog.Partition{Topic: keyedlog.TopicJobs}
 
-// appendOnce makes one append and returns how long it took.
+// appendOnce makes one append and returns its duration.
 func appendOnce(t *testing.T, log keyedlog.Log) (time.Duration, error) {
 	started := time.Now()
 	_, err := log.Append(t.Context(), partition, []keyedlog.Record{{Key: "k", Value: []byte("v")}}, nil)
 	return time.Since(started), err
 }
 
-// usedStore returns a quick store, and a log that has learnt how quick it is.
-func usedStore(t *testing.T) (*memorylog.Store, *Log) {
+// newFastStore returns a fast store, and a log whose estimator has adapted to it.
+func newFastStore(t *testing.T) (*memorylog.Store, *Log) {
 	is := is.New(t)
 	store := memorylog.New(memorylog.Config{Partitions: 1, Delay: 5 * time.Millisecond})
 	log := New(store.For("node"))
@@ -32,39 +32,40 @@
 	return store, log
 }
 
-// TestAnAnswerEndsTheWaitForLostOnes is what delayed orders and listings after outages in which the store says nothing: an append
-// that was sent a moment before its return waited for two seconds more, though reads were answered all the while.
-func TestAnAnswerEndsTheWaitForLostOnes(t *testing.T) {
+// TestAnswersAfterOutageCancelLostCalls guards against slow recovery from outages in which the store does not respond: an append
+// that had been sent a moment before the end of the outage waited for two seconds more although reads were answered, which
+// delayed orders and listings.
+func TestAnswersAfterOutageCancelLostCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store, log := usedStore(t)
+		store, log := newFastStore(t)
 		store.SetRule(func(memorylog.Call) memorylog.Fault { return memorylog.Silent })
 		for range 8 {
 			_, err := appendOnce(t, log)
 			is.True(err != nil)
 		}
-		is.Equal(log.writes.timeout(), most)
+		is.Equal(log.writes.timeout(), maxTimeout)
 		failed := make(chan time.Duration, 1)
 		go func() {
-			took, err := appendOnce(t, log)
+			elapsed, err := appendOnce(t, log)
 			is.True(err != nil)
-			failed <- took
+			failed <- elapsed
 		}()
 		time.Sleep(50 * time.Millisecond)
 		store.Heal()
-		// The first answer tells of the return, the next one that calls sent before it are lost.
+		// The first answer shows that the store is back, the next one that calls sent before its return are lost.
 		for range 2 {
 			_, err := log.Newest(t.Context(), partition, "")
 			is.NoErr(err)
 		}
-		is.True(<-failed < least)
-		is.Equal(log.writes.timeout(), most) // it says nothing new of the store
+		is.True(<-failed < minTimeout)
+		is.Equal(log.writes.timeout(), maxTimeout) // a cancelled call does not change the estimate
 	})
 }
 
-// TestAnswersEndNoOtherWait checks that a call which takes long, as one of much data does while all processes read, goes on while
-// others are answered.
-func TestAnswersEndNoOtherWait(t *testing.T) {
+// TestAnswersDoNotCancelSlowCalls checks that a slow call, such as one that transfers much data while all processes read, is not
+// cancelled when others are answered.
+func TestAnswersDoNotCancelSlowCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := memorylog.New(memorylog.Config{Partitions: 1, Delay: 5 * time.Millisecond})
@@ -77,51 +78,51 @@
 		})
 		waited := make(chan time.Duration, 1)
 		go func() {
-			took, _ := appendOnce(t, log)
-			waited <- took
+			elapsed, _ := appendOnce(t, log)
+			waited <- elapsed
 		}()
 		for range 20 {
 			_, err := log.Newest(t.Context(), partition, "")
 			is.NoErr(err)
 			time.Sleep(100 * time.Millisecond)
 		}
-		is.Equal(<-waited, initial)
+		is.Equal(<-waited, initialTimeout)
 	})
 }
 
-// TestALostAnswerCostsLittle checks that a caller of a quick store waits briefly for an answer that doesn't come, and longer
-// each time, up to what a slow store takes.
-func TestALostAnswerCostsLittle(t *testing.T) {
+// TestTimeoutBacksOffWhenAnswersAreLost checks that a caller of a fast store waits briefly for an answer that is lost, and longer
+// each time, up to the timeout for a slow store, and that the next answer resets the timeout.
+func TestTimeoutBacksOffWhenAnswersAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store, log := usedStore(t)
+		store, log := newFastStore(t)
 		store.SetRule(func(memorylog.Call) memorylog.Fault { return memorylog.Silent })
 		var waits []time.Duration
 		for range 8 {
-			took, err := appendOnce(t, log)
+			elapsed, err := appendOnce(t, log)
 			is.True(err != nil)
-			waits = append(waits, took)
+			waits = append(waits, elapsed)
 		}
-		is.Equal(waits[0], least)
+		is.Equal(waits[0], minTimeout)
 		for i := 1; i < len(waits); i++ {
 			is.True(waits[i] >= waits[i-1])
 		}
-		is.Equal(waits[len(waits)-1], most)
+		is.Equal(waits[len(waits)-1], maxTimeout)
 		store.Heal()
 		_, err := appendOnce(t, log)
 		is.NoErr(err)
-		is.Equal(log.writes.timeout(), least)
+		is.Equal(log.writes.timeout(), minTimeout)
 	})
 }
 
-// TestASlowStoreIsWaitedFor checks that a store that has become sixty times slower is served again after few calls that
-// were given up too early.
-func TestASlowStoreIsWaitedFor(t *testing.T) {
+// TestTimeoutAdaptsToSlowerStore checks that calls to a store that has become sixty times slower succeed again after a few
+// timeouts.
+func TestTimeoutAdaptsToSlowerStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		quick := memorylog.New(memorylog.Config{Partitions: 1, Delay: 5 * time.Millisecond})
+		fast := memorylog.New(memorylog.Config{Partitions: 1, Delay: 5 * time.Millisecond})
 		slow := memorylog.New(memorylog.Config{Partitions: 1, Delay: 300 * time.Millisecond})
-		log := New(quick.For("node"))
+		log := New(fast.For("node"))
 		for range 20 {
 			_, err := appendOnce(t, log)
 			is.NoErr(err)
@@ -137,30 +138,30 @@
 	})
 }
 
-// TestRefusalsAreNoTimeouts checks that a store that refuses at once does not lengthen the wait.
-func TestRefusalsAreNoTimeouts(t *testing.T) {
+// TestRefusalsDoNotLengthenTimeout checks that a store that refuses calls at once does not lengthen the timeout.
+func TestRefusalsDoNotLengthenTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store, log := usedStore(t)
+		store, log := newFastStore(t)
 		store.SetRule(func(memorylog.Call) memorylog.Fault { return memorylog.Down })
 		for range 10 {
 			_, err := appendOnce(t, log)
 			is.True(errors.Is(err, keyedlog.ErrNotDone))
 		}
-		is.Equal(log.writes.timeout(), least)
+		is.Equal(log.writes.timeout(), minTimeout)
 	})
 }
 
-// TestHeldReadsOfASlowStoreAreWaitedFor checks that reads which the store holds open are given more time after some brought
-// nothing. A process that gave each of them the same short time would read the same records for ever and take none.
-func TestHeldReadsOfASlowStoreAreWaitedFor(t *testing.T) {
+// TestHeldReadTimeoutAdaptsToSlowStore checks that reads which the store holds open have a longer timeout after some timed out.
+// With a constant timeout, a process would request the same records forever and never receive them.
+func TestHeldReadTimeoutAdaptsToSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		quick := memorylog.New(memorylog.Config{Partitions: 1, Delay: 5 * time.Millisecond})
+		fast := memorylog.New(memorylog.Config{Partitions: 1, Delay: 5 * time.Millisecond})
 		slow := memorylog.New(memorylog.Config{Partitions: 1, Delay: 2200 * time.Millisecond})
 		_, err := slow.For("other").Append(t.Context(), partition, []keyedlog.Record{{Key: "k", Value: []byte("v")}}, nil)
 		is.NoErr(err)
-		log := New(quick.For("node"))
+		log := New(fast.For("node"))
 		for range 20 {
 			_, err := log.Read(t.Context(), partition, keyedlog.Span{})
 			is.NoErr(err)
@@ -176,9 +177,10 @@
 	})
 }
 
-// TestLargePagesHaveTimeoutsOfTheirOwn reads small pages of one topic all the while, and pages of another that take three times as long as
-// any timeout that the small ones lead to. None of the large ones may be given up: each would be sent in vain and asked for again.
-func TestLargePagesHaveTimeoutsOfTheirOwn(t *testing.T) {
+// TestTopicsHaveSeparateTimeouts reads small pages of one topic, and pages of another that take three times as long as any
+// timeout that is based on the small ones. None of the large reads may time out: the page would be sent in vain and requested
+// again.
+func TestTopicsHaveSeparateTimeouts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const size = 36_000
@@ -200,9 +202,10 @@
 	})
 }
 
-// TestABacklogIsReadOnASlowLink has a process that was away read megabytes of records over a link that brings a fifth of what one read may
-// return before it is given up. It must be through in little more than the bytes take, and nearly all of them must be of use.
-func TestABacklogIsReadOnASlowLink(t *testing.T) {
+// TestBacklogIsReadOverSlowLink has a process read a backlog of megabytes of records over a link that transfers a fifth of the
+// maximum size of a read within its timeout. The total time may only be little more than the transfer of the bytes takes, and
+// nearly all transferred bytes must be used.
+func TestBacklogIsReadOverSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const (
--- a/internal/storetimeout/window.go
+++ b/internal/storetimeout/window.go
@@ -3,39 +3,42 @@
 import "sync"
 
 const (
-	// windowFirst is how many bytes a read asks for at first, windowLeast and windowMost bound it. The least is a few records.
-	windowFirst = 256 << 10
-	windowLeast = 16 << 10
-	windowMost  = 1 << 20
-	// windowGrowth is the part of the window by which a read that was filled in time widens it, once one was too late; before that it doubles.
+	// initialWindow is the number of bytes that the first read requests; minWindow and maxWindow limit the window. The minimum is
+	// the size of a few records.
+	initialWindow = 256 << 10
+	minWindow     = 16 << 10
+	maxWindow     = 1 << 20
+	// windowGrowth is the fraction by which a read that filled the window in time enlarges it once a read has timed out; before
+	// that, each such read doubles it.
 	windowGrowth = 1.0 / 16
 )
 
-// window is how many bytes a read asks for, as many as come before it is given up: what came of an answer that is late is lost, and asked
-// for again. It widens slowly and halves with each read that was too late, as TCP's does.
+// window is the number of bytes that a read requests, chosen so that they are received before the timeout: the bytes of a late
+// answer are discarded and requested again. It grows slowly and is halved by each read that times out, like the congestion window
+// of TCP.
 type window struct {
 	mutex sync.Mutex
-	// missing is windowFirst less the size, so that the zero value is a new window.
-	missing int
-	// limited says that a read was too late.
+	// deficit is initialWindow minus the size, so that the zero value is a new window.
+	deficit int
+	// limited is set once a read has timed out.
 	limited bool
 }
 
-// size returns how many bytes to ask for, at most so many as the caller wants; 0 stands for no wish.
-func (w *window) size(wanted int) int {
+// size returns the number of bytes to request, at most requested; 0 or less stands for no limit by the caller.
+func (w *window) size(requested int) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if current := windowFirst - w.missing; wanted <= 0 || wanted > current {
+	if current := initialWindow - w.deficit; requested <= 0 || requested > current {
 		return current
 	}
-	return wanted
+	return requested
 }
 
-// answered takes that a read brought so many bytes in time.
-func (w *window) answered(bytes int) {
+// recordAnswer notes that a read returned so many bytes in time.
+func (w *window) recordAnswer(bytes int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	current := windowFirst - w.missing
+	current := initialWindow - w.deficit
 	if bytes < current/2 {
 		return
 	}
@@ -43,15 +46,15 @@
 	if w.limited {
 		growth = int(windowGrowth * float64(current))
 	}
-	w.missing = windowFirst - min(windowMost, current+growth)
+	w.deficit = initialWindow - min(maxWindow, current+growth)
 }
 
-// expired takes that a read which asked for so many bytes was too late. Several that were sent together count once.
-func (w *window) expired(asked int) {
+// recordTimeout notes that a read which requested so many bytes timed out. Several reads that were sent together count once.
+func (w *window) recordTimeout(requested int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if current := windowFirst - w.missing; asked >= current {
-		w.missing = windowFirst - max(windowLeast, current/2)
+	if current := initialWindow - w.deficit; requested >= current {
+		w.deficit = initialWindow - max(minWindow, current/2)
 		w.limited = true
 	}
 }
