--- a/internal/machines/leaving.go
+++ b/internal/machines/leaving.go
@@ -5,10 +5,10 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// FactSource spreads small facts to all nodes: a key with a version and a value, of which the highest version wins.
-// Facts are hints; they arrive late and may be lost.
+// FactSource distributes small facts to all nodes: a key with a version and a value, of which the highest version wins. Facts are
+// hints; they may arrive late or be lost.
 type FactSource interface {
-	// SetFact publishes a fact; one that is not newer than the known version has no effect.
+	// SetFact publishes a fact; it has no effect if the version is not newer than the known one.
 	SetFact(key string, version uint64, value []byte)
 	// Fact returns the newest known version and value of a key.
 	Fact(key string) (version uint64, value []byte, known bool)
@@ -16,7 +16,7 @@
 	FactsChanged() <-chan struct{}
 }
 
-// leavingFactPrefix starts the keys of the facts that tell whether a machine leaves.
+// leavingFactPrefix is the prefix of the keys of the facts that state whether a machine is leaving.
 const leavingFactPrefix = "leaving/"
 
 // Values of a leaving fact.
@@ -25,12 +25,13 @@
 	factLive    = "live"
 )
 
-// LeavingFactKey is the key of the fact that tells whether a machine leaves.
+// LeavingFactKey returns the key of the fact that states whether a machine is leaving.
 func LeavingFactKey(machine string) string {
 	return leavingFactPrefix + machine
 }
 
-// Leaving tells whether any sign says that the machine leaves. A machine that was never listed is not leaving.
+// Leaving reports whether the list, a fact or this process says that the machine is leaving. A machine that was never listed is
+// leaving only if a fact or this process marked it.
 func (d *Directory) Leaving(id string) bool {
 	if d.config.Mutations.Has(mutation.IgnoreLeaving) {
 		return false
@@ -41,22 +42,22 @@
 	return d.leaving[id] || known && d.mergedLocked(machine).State == platform.MachineLeaving
 }
 
-// MarkLeaving records that the machine said itself that it leaves, and publishes it.
+// MarkLeaving records that the machine itself announced that it is leaving, and publishes a fact about it.
 func (d *Directory) MarkLeaving(id string) {
 	if d.setLeaving(id, true) {
 		d.publish(id, factLeaving)
 	}
 }
 
-// MarkLive takes back what MarkLeaving and the facts said, because the machine came back as a new process. It does not
-// overrule the list.
+// MarkLive undoes MarkLeaving and leaving facts after the machine came back as a new process, and publishes a fact about it. It
+// does not override the list.
 func (d *Directory) MarkLive(id string) {
 	if d.setLeaving(id, false) {
 		d.publish(id, factLive)
 	}
 }
 
-// setLeaving changes the local sign and tells whether it was a change.
+// setLeaving sets the local mark of a machine and reports whether it changed.
 func (d *Directory) setLeaving(id string, leaving bool) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -72,20 +73,20 @@
 	return true
 }
 
-// publish spreads a word on a machine, unless the newest fact says the same already.
-func (d *Directory) publish(id, word string) {
+// publish publishes the state of a machine as a fact, unless the newest fact already has that value.
+func (d *Directory) publish(id, state string) {
 	if d.config.Facts == nil {
 		return
 	}
 	key := LeavingFactKey(id)
 	version, value, known := d.config.Facts.Fact(key)
-	if known && string(value) == word {
+	if known && string(value) == state {
 		return
 	}
-	d.config.Facts.SetFact(key, version+1, []byte(word))
+	d.config.Facts.SetFact(key, version+1, []byte(state))
 }
 
-// mergeFacts takes over what the facts say of the listed machines.
+// mergeFacts applies the facts about the listed machines to the local marks.
 func (d *Directory) mergeFacts() {
 	if d.config.Facts == nil {
 		return
--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -1,9 +1,8 @@
-// Package machines follows the platform's list of machines and merges it with faster signs that a machine is leaving.
+// Package machines polls the platform's list of machines and merges it with faster signals that a machine is leaving.
 //
-// The list lags and grows with the deployment, so it is read rarely enough to stay within a byte budget. A machine leaves
-// as soon as the list says so, or a gossip fact does, or this process learned it elsewhere. A node that reads of a leaving
-// machine in the list publishes the fact: with N nodes reading at random moments, the first one reads N times sooner than
-// any single one.
+// The list is delayed and grows with the deployment, so it is read rarely enough to stay within a byte budget. A machine counts
+// as leaving as soon as the list, a gossip fact or a call in this process says so. A node that finds a leaving machine in the
+// list publishes a fact: with N nodes reading at random moments, the first one detects it N times sooner than any single one.
 package machines
 
 import (
@@ -26,34 +25,35 @@
 )
 
 const (
-	// DefaultInterval is the shortest time between two reads of the list.
+	// DefaultInterval is the minimum time between two reads of the list.
 	DefaultInterval = time.Second
-	// DefaultBytesPerSecond bounds what reading the list may cost on average.
+	// DefaultBytesPerSecond is the average number of bytes per second that reading the list may transfer.
 	DefaultBytesPerSecond = 1024
-	// machineOverheadBytes is what a line of the list costs beyond its strings: tags, lengths, kind and state.
+	// machineOverheadBytes is the size of a list entry without its strings: tags, lengths, kind and state.
 	machineOverheadBytes = 20
-	// listTimeout bounds one read of the list.
+	// listTimeout is the timeout of one read of the list.
 	listTimeout = 10 * time.Second
-	// factsDelay is how long changed facts are gathered before they are merged, so that a busy gossip costs little.
+	// factsDelay is the time for which changed facts are collected before they are merged, so that frequent gossip causes little
+	// work.
 	factsDelay = 200 * time.Millisecond
 )
 
-// Config sets a Directory up. List is required.
+// Config configures a Directory. List is required.
 type Config struct {
 	List platform.MachineList
-	// Interval is the shortest time between two reads; 0 is DefaultInterval.
+	// Interval is the minimum time between two reads; 0 is DefaultInterval.
 	Interval time.Duration
 	// BytesPerSecond is the byte budget of reading the list; 0 is DefaultBytesPerSecond.
 	BytesPerSecond float64
-	// Facts shares the word that a machine leaves; nil keeps it local.
+	// Facts shares with other nodes that a machine is leaving; if it is nil, only this process knows.
 	Facts  FactSource
 	Logger *log.Logger
-	// Mutations switches mechanisms off; only tests set it.
+	// Mutations disables mechanisms; it is set only by tests.
 	Mutations mutation.Set
 }
 
-// Directory is the merged view of the machines. Its methods may be called by many goroutines; no method blocks on I/O.
-// Lock order: the Directory's lock is never held while a FactSource is called.
+// Directory is the merged view of the machines. Its methods are safe for concurrent use and do not block on I/O. Lock order: the
+// Directory's lock is never held while a FactSource is called.
 type Directory struct {
 	config Config
 
@@ -63,13 +63,13 @@
 	loaded  bool
 	bytes   int
 	changed chan struct{}
-	// views holds the sorted engines of each pool until the next change.
+	// views caches the sorted engines of each pool until the next change.
 	views    map[string][]platform.Machine
 	reads    uint64
 	failures uint64
 }
 
-// New returns a Directory that knows no machine until Run has read the list.
+// New returns a Directory that is empty until Run has read the list.
 func New(config Config) *Directory {
 	if config.Interval <= 0 {
 		config.Interval = DefaultInterval
@@ -87,8 +87,8 @@
 	}
 }
 
-// Run reads the list until the context ends, and returns the context's error. While the list is down the last good one
-// stays in force.
+// Run polls the list until the context ends, and returns the context's error. While the list is unavailable, the last one remains
+// in use.
 func (d *Directory) Run(ctx context.Context) error {
 	for {
 		d.refresh(ctx)
@@ -98,7 +98,7 @@
 	}
 }
 
-// wait follows the facts until it is time to read the list again.
+// wait merges changed facts until the delay before the next read of the list is over.
 func (d *Directory) wait(ctx context.Context, delay time.Duration) error {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -121,7 +121,7 @@
 	}
 }
 
-// nextDelay spreads reads by a fifth around the interval, so that the nodes of a deployment read at different moments.
+// nextDelay returns the interval with a random jitter of ±10%, so that the nodes of a deployment read at different moments.
 func (d *Directory) nextDelay() time.Duration {
 	d.mutex.Lock()
 	bytes := d.bytes
@@ -130,13 +130,14 @@
 	return time.Duration(float64(interval) * (0.9 + 0.2*rand.Float64()))
 }
 
-// PollInterval returns the time between two reads of a list of so many bytes that keeps within the byte budget.
-func PollInterval(shortest time.Duration, listBytes int, bytesPerSecond float64) time.Duration {
-	afforded := time.Duration(float64(listBytes) / bytesPerSecond * float64(time.Second))
-	return max(shortest, afforded)
+// PollInterval returns the time between two reads of a list of listBytes that stays within the byte budget, and at least
+// minInterval.
+func PollInterval(minInterval time.Duration, listBytes int, bytesPerSecond float64) time.Duration {
+	budgetInterval := time.Duration(float64(listBytes) / bytesPerSecond * float64(time.Second))
+	return max(minInterval, budgetInterval)
 }
 
-// refresh reads the list once and publishes the leavers it names.
+// refresh reads the list once and publishes the changes that it shows: machines that are leaving, and machines that are back.
 func (d *Directory) refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -148,8 +149,8 @@
 		errorlog.Warn(d.config.Logger, "machine list is unavailable, keeping the last one", oops.Wrapf(err, "read machine list"))
 		return
 	}
-	leavers, returned := d.replaceList(machines)
-	for _, id := range leavers {
+	departing, returned := d.replaceList(machines)
+	for _, id := range departing {
 		d.publish(id, factLeaving)
 	}
 	for _, id := range returned {
@@ -157,9 +158,10 @@
 	}
 }
 
-// replaceList takes a new list in. It returns the machines that the list newly says are leaving, and those that were
-// leaving, then gone or listed as leaving, and are live now: these are new machines under an old name.
-func (d *Directory) replaceList(machines []platform.Machine) (leavers, returned []string) {
+// replaceList installs a new list. It returns the machines that are newly listed as leaving, and those that were marked as
+// leaving, then were missing from the list or listed as leaving, and are live now: these are new machines with the ID of an old
+// one.
+func (d *Directory) replaceList(machines []platform.Machine) (departing, returned []string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	listed := make(map[string]platform.Machine, len(machines))
@@ -170,14 +172,14 @@
 		before, known := d.listed[machine.ID]
 		wasLeaving := before.State == platform.MachineLeaving
 		if machine.State == platform.MachineLeaving && !wasLeaving {
-			leavers = append(leavers, machine.ID)
+			departing = append(departing, machine.ID)
 		}
 		if machine.State == platform.MachineLive && d.leaving[machine.ID] && (wasLeaving || d.loaded && !known) {
 			delete(d.leaving, machine.ID)
 			returned = append(returned, machine.ID)
 		}
 	}
-	changed := !d.loaded || len(leavers) > 0 || len(returned) > 0 || !sameMachines(d.listed, listed)
+	changed := !d.loaded || len(departing) > 0 || len(returned) > 0 || !sameMachines(d.listed, listed)
 	d.listed = listed
 	d.bytes = bytes
 	d.loaded = true
@@ -185,7 +187,7 @@
 	if changed {
 		d.notifyLocked()
 	}
-	return leavers, returned
+	return departing, returned
 }
 
 func machineBytes(machine platform.Machine) int {
@@ -217,22 +219,23 @@
 	return d.changed
 }
 
-// Loaded tells whether the list has been read at least once.
+// Loaded reports whether the list has been read at least once.
 func (d *Directory) Loaded() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.loaded
 }
 
-// Machines returns all machines by ID, in order; State is MachineLeaving from the first sign on.
+// Machines returns all machines sorted by ID. The state of a machine is MachineLeaving as soon as any source says that it is
+// leaving.
 func (d *Directory) Machines() []platform.Machine {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.selectLocked(func(platform.Machine) bool { return true })
 }
 
-// Engines returns the engines of a pool by ID, in order; all pools' where pool is empty. The slice is shared and must
-// not be changed.
+// Engines returns the engines of a pool sorted by ID, or of all pools if pool is empty. The slice is shared and must not be
+// modified.
 func (d *Directory) Engines(pool string) []platform.Machine {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -246,10 +249,10 @@
 	return view
 }
 
-func (d *Directory) selectLocked(wanted func(platform.Machine) bool) []platform.Machine {
+func (d *Directory) selectLocked(include func(platform.Machine) bool) []platform.Machine {
 	selected := make([]platform.Machine, 0, len(d.listed))
 	for _, machine := range d.listed {
-		if wanted(machine) {
+		if include(machine) {
 			selected = append(selected, d.mergedLocked(machine))
 		}
 	}
@@ -268,7 +271,7 @@
 	return machine
 }
 
-// Machine finds a machine by ID.
+// Machine returns the machine with the given ID.
 func (d *Directory) Machine(id string) (platform.Machine, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -276,14 +279,14 @@
 	return d.mergedLocked(machine), known
 }
 
-// Preference tells where the dispatcher of an engine had best be: in the engine's own zone, else in its region. It is
-// empty for an engine that is not listed.
+// Preference returns the preferred location of the dispatcher of an engine: the engine's own zone, else its region. It is empty
+// for an engine that is not listed.
 func (d *Directory) Preference(engine string) placement.Preference {
 	machine, _ := d.Machine(engine)
 	return placement.Preference{Zone: machine.Zone, Region: machine.Region}
 }
 
-// Counts tells how often the list was read and how often that failed.
+// Counts returns the number of successful and of failed reads of the list.
 func (d *Directory) Counts() (reads, failures uint64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/machines/machines_test.go
+++ b/internal/machines/machines_test.go
@@ -86,8 +86,8 @@
 	return directory
 }
 
-func TestFirstSignOfLeavingWins(t *testing.T) {
-	signs := map[string]func(*fakeList, *fakeFacts, *Directory){
+func TestAnySourceMarksMachineLeaving(t *testing.T) {
+	sources := map[string]func(*fakeList, *fakeFacts, *Directory){
 		"list": func(list *fakeList, _ *fakeFacts, _ *Directory) {
 			list.set(nil, engine("e1", platform.MachineLeaving), engine("e2", platform.MachineLive))
 		},
@@ -96,7 +96,7 @@
 		},
 		"local": func(_ *fakeList, _ *fakeFacts, directory *Directory) { directory.MarkLeaving("e1") },
 	}
-	for name, sign := range signs {
+	for name, announce := range sources {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -105,20 +105,20 @@
 				directory := start(t, Config{List: list, Facts: facts})
 				is.True(!directory.Leaving("e1"))
 				changed := directory.Changed()
-				sign(list, facts, directory)
+				announce(list, facts, directory)
 				<-changed
 				is.True(directory.Leaving("e1"))
 				is.Equal(directory.Engines("p")[0].State, platform.MachineLeaving)
 				is.Equal(directory.Engines("p")[1].State, platform.MachineLive)
 				synctest.Wait()
 				_, value, _ := facts.Fact(LeavingFactKey("e1"))
-				is.Equal(string(value), factLeaving) // every other node hears of it
+				is.Equal(string(value), factLeaving) // published to all other nodes
 			})
 		})
 	}
 }
 
-func TestListThatIsDownKeepsTheLastOne(t *testing.T) {
+func TestUnavailableListKeepsLastMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		list := &fakeList{}
@@ -129,11 +129,11 @@
 		is.Equal(len(directory.Engines("p")), 1)
 		list.set(nil)
 		time.Sleep(2 * time.Second)
-		is.Equal(len(directory.Engines("p")), 0) // an empty list that was read is believed
+		is.Equal(len(directory.Engines("p")), 0) // an empty list that was read successfully is applied
 	})
 }
 
-func TestReturnUnderAnOldNameIsLive(t *testing.T) {
+func TestMachineWithReusedIDIsLive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		list, facts := &fakeList{}, newFakeFacts()
@@ -141,7 +141,7 @@
 		directory := start(t, Config{List: list, Facts: facts})
 		directory.MarkLeaving("e1")
 		time.Sleep(3 * time.Second)
-		is.True(directory.Leaving("e1")) // a list that lags does not take the word back
+		is.True(directory.Leaving("e1")) // a delayed list does not reset the mark
 		list.set(nil)
 		time.Sleep(3 * time.Second)
 		list.set(nil, engine("e1", platform.MachineLive))
@@ -155,7 +155,7 @@
 	})
 }
 
-func TestReadingStaysInTheByteBudget(t *testing.T) {
+func TestPollingStaysWithinByteBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		list := &fakeList{}
@@ -174,6 +174,6 @@
 		reads, _ := directory.Counts()
 		perSecond := float64(reads) * float64(total) / span
 		is.True(perSecond < 1.1*DefaultBytesPerSecond)
-		is.True(perSecond > 0.8*DefaultBytesPerSecond) // and the budget is used
+		is.True(perSecond > 0.8*DefaultBytesPerSecond) // most of the budget is used
 	})
 }
