--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -1,6 +1,7 @@
-// Package usage reports which tenants' requests have run, by windows of true time. Every process counts what it has run and tells the store
-// soon, so that little is lost with a process; the holder of a duty adds up what all have told of a window, writes the sum down and sends
-// it. What was written down is sent as it stands, by whoever holds the duty, so that no window is reported twice with different counts.
+// Package usage reports how many requests of each tenant have run, per window of time. Every process counts the requests that it
+// runs and soon publishes its counts to the store, so that little is lost if the process fails. The holder of a duty sums up the
+// counts that all processes published for a window, stores the sum and sends it. A stored report is sent unchanged, also by later
+// holders of the duty, so that no window is reported twice with different counts.
 package usage
 
 import (
@@ -10,12 +11,12 @@
 	"github.com/hillfork/hillfork/internal/broadcast"
 )
 
-// Windows are spans of true time of one length. Window k begins k lengths after the start of 1970.
+// Windows are consecutive spans of time of the same length. Window k begins k lengths after the Unix epoch (the start of 1970).
 type Windows struct {
 	Length time.Duration
 }
 
-// Number returns the window that a moment lies in.
+// Number returns the number of the window that contains a moment.
 func (w Windows) Number(moment time.Time) int64 {
 	return moment.UnixNano() / int64(w.Length)
 }
@@ -30,21 +31,21 @@
 	windows Windows
 	clock   *Clock
 
-	mutex   sync.Mutex
-	counts  map[int64]map[string]int64
-	untold  map[int64]bool
-	changed broadcast.Signal
+	mutex       sync.Mutex
+	counts      map[int64]map[string]int64
+	unpublished map[int64]bool
+	changed     broadcast.Signal
 }
 
-// NewCounter returns a counter of windows by a clock.
+// NewCounter returns a counter that assigns requests to windows by a clock.
 func NewCounter(windows Windows, clock *Clock) *Counter {
 	return &Counter{
-		windows: windows, clock: clock, counts: make(map[int64]map[string]int64), untold: make(map[int64]bool),
+		windows: windows, clock: clock, counts: make(map[int64]map[string]int64), unpublished: make(map[int64]bool),
 		changed: broadcast.New(),
 	}
 }
 
-// Ran counts a request of a tenant that began to run at a moment of this machine's clock.
+// Ran counts a request of a tenant that started at a moment of this machine's clock.
 func (c *Counter) Ran(tenant string, at time.Time) {
 	window := c.windows.Number(c.clock.At(at))
 	c.mutex.Lock()
@@ -55,24 +56,24 @@
 		c.counts[window] = counts
 	}
 	counts[tenant]++
-	c.untold[window] = true
+	c.unpublished[window] = true
 	c.changed.Notify()
 }
 
-// next returns what is to be told of each window that has changed, and a channel that is closed at the next change. Windows before a
-// number are final, those before another, whose counts have been told, are forgotten.
-func (c *Counter) next(final, forget int64) (records map[int64]*told, changed <-chan struct{}) {
+// next returns the counts to be published of each window that has changed, and a channel that is closed at the next change.
+// Windows before final are marked as final; windows before forget whose counts have been published are deleted.
+func (c *Counter) next(final, forget int64) (records map[int64]*windowCounts, changed <-chan struct{}) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	records = make(map[int64]*told, len(c.untold))
-	for window := range c.untold {
+	records = make(map[int64]*windowCounts, len(c.unpublished))
+	for window := range c.unpublished {
 		counts := make(map[string]int64, len(c.counts[window]))
 		for tenant, count := range c.counts[window] {
 			counts[tenant] = count
 		}
-		records[window] = &told{Counts: counts, Final: window < final}
+		records[window] = &windowCounts{Counts: counts, Final: window < final}
 	}
-	clear(c.untold)
+	clear(c.unpublished)
 	for window := range c.counts {
 		if _, now := records[window]; window < forget && !now {
 			delete(c.counts, window)
@@ -81,18 +82,18 @@
 	return records, c.changed.Changed()
 }
 
-// close has a window told once more, whether anything was counted in it or not.
-func (c *Counter) close(window int64) {
+// markUnpublished schedules a window to be published once more, even if nothing was counted in it.
+func (c *Counter) markUnpublished(window int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.untold[window] = true
+	c.unpublished[window] = true
 }
 
-// again has a window told once more that could not be.
-func (c *Counter) again(windows map[int64]*told) {
+// markAllUnpublished schedules windows to be published again after they could not be written.
+func (c *Counter) markAllUnpublished(windows map[int64]*windowCounts) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for window := range windows {
-		c.untold[window] = true
+		c.unpublished[window] = true
 	}
 }
--- a/internal/usage/records_gen.go
+++ b/internal/usage/records_gen.go
@@ -201,7 +201,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *told) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *windowCounts) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -276,7 +276,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *told) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *windowCounts) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 4
 	// write "machine"
 	err = en.Append(0x84, 0xa7, 0x6d, 0x61, 0x63, 0x68, 0x69, 0x6e, 0x65)
@@ -334,7 +334,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *told) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *windowCounts) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 4
 	// string "machine"
@@ -357,7 +357,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *told) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *windowCounts) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -433,7 +433,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *told) Msgsize() (s int) {
+func (z *windowCounts) Msgsize() (s int) {
 	s = 1 + 8 + msgp.StringPrefixSize + len(z.Machine) + 7 + msgp.MapHeaderSize
 	if z.Counts != nil {
 		for za0001, za0002 := range z.Counts {
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -18,24 +18,26 @@
 const (
 	// reportKey is the key of the newest report in the duty's partition.
 	reportKey = "report"
-	// settleAfter is how long after its end a window is reported at the earliest.
-	settleAfter = finalAfter + finalSpread + 200*time.Millisecond
-	// waitShare is the part of the time in which a window has to be reported for which machines that have not told all are waited for.
-	// The rest is for calls that fail.
+	// minReportDelay is the minimum time between the end of a window and its report.
+	minReportDelay = finalDelay + finalJitter + 200*time.Millisecond
+	// waitShare is the fraction of the time limit of a report during which the reporter waits for machines that have not
+	// published their final counts. The rest is for calls that fail.
 	waitShare = 0.65
-	// lookEvery is how often the holder looks whether a window can be reported.
-	lookEvery = 100 * time.Millisecond
-	// sendTimeout bounds one call, sendPause is the pause after one that failed.
+	// pollInterval is the interval at which the holder checks whether a window can be reported.
+	pollInterval = 100 * time.Millisecond
+	// sendTimeout is the timeout of one call, retryDelay the delay after a failed one.
 	sendTimeout = 700 * time.Millisecond
-	sendPause   = 150 * time.Millisecond
-	// followWait is how long the store may hold a read of counts open, followSpacing the least time between two that brought some.
+	retryDelay  = 150 * time.Millisecond
+	// followWait is how long the store may hold a read of counts open, followSpacing the minimum time between two reads that
+	// returned some.
 	followWait    = time.Second
 	followSpacing = 300 * time.Millisecond
 )
 
-// Receiver takes reports.
+// Receiver receives reports.
 type Receiver interface {
-	// ReportUsage tells the requests of each tenant in a window. token is that of the duty's holder. A repeat changes nothing.
+	// ReportUsage reports the number of requests of each tenant in a window. token is the fencing token of the duty's holder. The
+	// call is idempotent.
 	ReportUsage(ctx context.Context, token, window int64, counts map[string]int64) error
 }
 
@@ -45,12 +47,12 @@
 	Receiver Receiver
 	Windows  Windows
 	Clock    *Clock
-	// Late is how long after its end a window has to be reported.
+	// Late is the maximum time between the end of a window and its report.
 	Late   time.Duration
 	Logger *log.Logger
 }
 
-// Reporter is the duty of reporting usage; it implements duty.Duty.
+// Reporter performs the duty of reporting usage; it implements duty.Duty.
 type Reporter struct {
 	config ReporterConfig
 }
@@ -60,20 +62,20 @@
 	return &Reporter{config: config}
 }
 
-// Name names the duty in logs.
+// Name returns the name of the duty in logs.
 func (r *Reporter) Name() string { return "usage" }
 
-// Perform reports window after window until the context ends. It begins with the report that was written down last, which its writer
-// may not have sent, and goes on with the window after it: windows that were missed are caught up.
+// Perform reports one window after the other until the context ends. It begins with the report that was stored last, which its
+// writer may not have sent, and continues with the window after it, so that missed windows are reported as well.
 func (r *Reporter) Perform(ctx context.Context, tenure *duty.Tenure) {
 	tally := NewTally()
 	followCtx, cancel := context.WithCancel(ctx)
-	var besides sync.WaitGroup
-	defer besides.Wait()
+	var background sync.WaitGroup
+	defer background.Wait()
 	defer cancel()
 	for number := range r.config.Log.Partitions(keyedlog.TopicUsage) {
 		follower := r.follow(number, tally)
-		besides.Go(func() { follower.Run(followCtx) })
+		background.Go(func() { follower.Run(followCtx) })
 	}
 	next := r.config.Windows.Number(r.config.Clock.At(time.Now())) + 1
 	if last, ok := r.last(tenure); ok {
@@ -87,14 +89,14 @@
 		if !ok {
 			return
 		}
-		due := report{Window: next, Counts: tally.Sum(next)}
-		if !r.send(ctx, tenure, due) {
+		pending := report{Window: next, Counts: tally.Sum(next)}
+		if !r.send(ctx, tenure, pending) {
 			return
 		}
-		r.config.Logger.Info("usage reported", "window", next, "token", tenure.Token(), "tenants", len(due.Counts), "requests", due.total(),
+		r.config.Logger.Info("usage reported", "window", next, "token", tenure.Token(), "tenants", len(pending.Counts), "requests", pending.total(),
 			"after", r.config.Clock.At(time.Now()).Sub(r.config.Windows.End(next)).Round(time.Millisecond), "missing", missing)
-		forgotten := tally.Forget(next - expectedFor)
-		besides.Go(func() { r.drop(followCtx, forgotten) })
+		deletions := tally.Forget(next - expectedFor)
+		background.Go(func() { r.deleteRecords(followCtx, deletions) })
 	}
 }
 
@@ -106,7 +108,7 @@
 	return total
 }
 
-// last returns the report that was written down last.
+// last returns the report that was stored last.
 func (r *Reporter) last(tenure *duty.Tenure) (report, bool) {
 	var last report
 	value := tenure.Record(reportKey)
@@ -120,7 +122,7 @@
 	return last, true
 }
 
-// follow returns a follower of what some of the processes tell.
+// follow returns a follower of one partition of the published counts.
 func (r *Reporter) follow(number int, tally *Tally) *follow.Follower {
 	partition := keyedlog.Partition{Topic: keyedlog.TopicUsage, Number: number}
 	return follow.New(follow.Config{
@@ -135,39 +137,40 @@
 	logger    *log.Logger
 }
 
-// Apply takes a record.
+// Apply adds a record to the tally.
 func (a *applier) Apply(record keyedlog.Record, _ bool) {
 	if err := a.tally.Apply(a.partition, record); err != nil {
-		errorlog.Warn(a.logger, "counts of usage skipped", err, "partition", a.partition)
+		errorlog.Warn(a.logger, "usage counts skipped", err, "partition", a.partition)
 	}
 }
 
-// Advanced does nothing: the tally is asked when a window is due.
+// Advanced does nothing: the tally is read when a window is to be reported.
 func (a *applier) Advanced(int64) {}
 
-// await waits until a window can be reported: all machines have told it, or no more time is left to wait for those that it returns.
+// await waits until a window can be reported: until all machines have published their final counts of it, or until the time to
+// wait for the machines that it returns as missing is over. ok is false if the context ended first.
 func (r *Reporter) await(ctx context.Context, tally *Tally, window int64) (missing []string, ok bool) {
 	end := r.config.Windows.End(window)
 	latest := end.Add(time.Duration(waitShare * float64(r.config.Late)))
 	for {
 		now := r.config.Clock.At(time.Now())
-		if !now.Before(end.Add(settleAfter)) {
+		if !now.Before(end.Add(minReportDelay)) {
 			missing = tally.Missing(window)
 			if len(missing) == 0 || !now.Before(latest) {
 				return missing, true
 			}
 		}
-		if !pause.For(ctx, max(lookEvery, end.Add(settleAfter).Sub(now))) {
+		if !pause.For(ctx, max(pollInterval, end.Add(minReportDelay).Sub(now))) {
 			return nil, false
 		}
 	}
 }
 
-// send writes a report down and sends it until it is taken. It returns false if the tenure or the context ended before.
-func (r *Reporter) send(ctx context.Context, tenure *duty.Tenure, due report) bool {
-	value, err := due.MarshalMsg(nil)
+// send stores a report and sends it until it is accepted. It returns false if the tenure or the context ended first.
+func (r *Reporter) send(ctx context.Context, tenure *duty.Tenure, pending report) bool {
+	value, err := pending.MarshalMsg(nil)
 	if err != nil {
-		errorlog.Error(r.config.Logger, "report of usage does not encode", err, "window", due.Window)
+		errorlog.Error(r.config.Logger, "report of usage does not encode", err, "window", pending.Window)
 		return false
 	}
 	for {
@@ -175,7 +178,7 @@
 		if err != nil {
 			return false
 		}
-		if r.sendWithin(ctx, tenure, due, window) {
+		if r.sendWithin(ctx, tenure, pending, window) {
 			return true
 		}
 		if ctx.Err() != nil {
@@ -184,30 +187,30 @@
 	}
 }
 
-// sendWithin sends a report until it is taken, and not after a window.
-func (r *Reporter) sendWithin(ctx context.Context, tenure *duty.Tenure, due report, window fencing.Window) bool {
+// sendWithin sends a report until it is accepted or the fencing window ends, and reports whether it was accepted.
+func (r *Reporter) sendWithin(ctx context.Context, tenure *duty.Tenure, pending report, window fencing.Window) bool {
 	windowCtx, cancel := window.Context(ctx)
 	defer cancel()
 	for windowCtx.Err() == nil {
 		callCtx, cancelCall := context.WithTimeout(windowCtx, sendTimeout)
-		err := r.config.Receiver.ReportUsage(callCtx, tenure.Token(), due.Window, due.Counts)
+		err := r.config.Receiver.ReportUsage(callCtx, tenure.Token(), pending.Window, pending.Counts)
 		cancelCall()
 		if err == nil {
 			return true
 		}
 		if !errors.Is(err, context.DeadlineExceeded) {
-			errorlog.Warn(r.config.Logger, "report of usage not taken", err, "window", due.Window, "token", tenure.Token())
+			errorlog.Warn(r.config.Logger, "report of usage not taken", err, "window", pending.Window, "token", tenure.Token())
 		}
-		pause.For(windowCtx, sendPause)
+		pause.For(windowCtx, retryDelay)
 	}
 	return false
 }
 
-// drop drops records that are not needed any more. What can't be dropped now is read again by the next holder and dropped then.
-func (r *Reporter) drop(ctx context.Context, records map[keyedlog.Partition][]keyedlog.Record) {
-	for partition, dropped := range records {
-		if _, err := r.config.Log.Append(ctx, partition, dropped, nil); err != nil {
-			errorlog.Debug(r.config.Logger, "counts of reported windows not dropped", err, "partition", partition, "records", len(dropped))
+// deleteRecords deletes records that are no longer needed. The next holder reads and deletes those that cannot be deleted now.
+func (r *Reporter) deleteRecords(ctx context.Context, records map[keyedlog.Partition][]keyedlog.Record) {
+	for partition, deletions := range records {
+		if _, err := r.config.Log.Append(ctx, partition, deletions, nil); err != nil {
+			errorlog.Debug(r.config.Logger, "counts of reported windows not deleted", err, "partition", partition, "records", len(deletions))
 		}
 	}
 }
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -9,19 +9,19 @@
 	"github.com/hillfork/hillfork/internal/keyedlog"
 )
 
-// expectedFor is how many windows after its last word a machine is waited for.
+// expectedFor is the number of windows after its last record for which counts of a machine are expected.
 const expectedFor = 2
 
-// Tally adds up what the processes have told. It is safe for concurrent use.
+// Tally sums up the counts that the processes have published. It is safe for concurrent use.
 type Tally struct {
 	mutex sync.Mutex
-	// windows maps windows to what each process has told of it, with where that lies.
+	// windows holds the latest counts and their partition by window and process.
 	windows map[int64]map[string]entry
 }
 
-// entry is what a process has told of a window.
+// entry holds the counts that a process has published for a window.
 type entry struct {
-	told
+	windowCounts
 	partition keyedlog.Partition
 }
 
@@ -30,13 +30,13 @@
 	return &Tally{windows: make(map[int64]map[string]entry)}
 }
 
-// Apply takes a record of a partition. An error says that it was skipped.
+// Apply adds a record of a partition. If it returns an error, the record was skipped.
 func (t *Tally) Apply(partition keyedlog.Partition, record keyedlog.Record) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	window, process, ok := parseKey(record.Key)
 	if !ok {
-		return fmt.Errorf("usage: key of no record: %q", record.Key)
+		return fmt.Errorf("usage: malformed record key: %q", record.Key)
 	}
 	if record.Value == nil {
 		delete(t.windows[window], process)
@@ -51,13 +51,14 @@
 		processes = make(map[string]entry)
 		t.windows[window] = processes
 	}
-	next.merge(processes[process].told)
+	next.merge(processes[process].windowCounts)
 	processes[process] = next
 	return nil
 }
 
-// merge takes in what the same process told before: counts only rise, and a record whose append was done late is older than it looks.
-func (t *told) merge(earlier told) {
+// merge merges the counts that the same process published earlier. Counts only increase, and a record whose append was delayed
+// may be older than its position in the log suggests.
+func (t *windowCounts) merge(earlier windowCounts) {
 	if t.Counts == nil {
 		t.Counts = make(map[string]int64)
 	}
@@ -68,41 +69,42 @@
 	t.Leaving = t.Leaving || earlier.Leaving
 }
 
-// Sum returns the requests of each tenant in a window, as far as they have been told.
+// Sum returns the number of requests of each tenant in a window that have been published so far.
 func (t *Tally) Sum(window int64) map[string]int64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	sum := make(map[string]int64)
-	for _, told := range t.windows[window] {
-		for tenant, count := range told.Counts {
+	for _, record := range t.windows[window] {
+		for tenant, count := range record.Counts {
 			sum[tenant] += count
 		}
 	}
 	return sum
 }
 
-// Missing returns the machines from which more of a window is expected: those that told something of it or of the windows before, and
-// neither finished the window nor left.
+// Missing returns the machines that are expected to publish more counts of a window: those with counts of it or of the
+// expectedFor windows before it that have neither published final counts of the window nor left.
 func (t *Tally) Missing(window int64) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	expected := make(map[string]bool)
 	for earlier := window - expectedFor; earlier <= window; earlier++ {
-		// A machine has left with the last process that told something of it; what one tells later counts again.
-		stays := make(map[string]bool)
-		for _, told := range t.windows[earlier] {
-			stays[told.Machine] = stays[told.Machine] || !told.Leaving
+		// A machine has left if all processes with counts of the window are leaving; counts of a later window make it expected
+		// again.
+		remaining := make(map[string]bool)
+		for _, record := range t.windows[earlier] {
+			remaining[record.Machine] = remaining[record.Machine] || !record.Leaving
 		}
-		maps.Copy(expected, stays)
+		maps.Copy(expected, remaining)
 	}
-	for _, told := range t.windows[window] {
-		if told.Final {
-			expected[told.Machine] = false
+	for _, record := range t.windows[window] {
+		if record.Final {
+			expected[record.Machine] = false
 		}
 	}
 	var missing []string
-	for machine, wanted := range expected {
-		if wanted {
+	for machine, isExpected := range expected {
+		if isExpected {
 			missing = append(missing, machine)
 		}
 	}
@@ -110,19 +112,20 @@
 	return missing
 }
 
-// Forget forgets the windows before one, and returns their records by partition, to be dropped there.
+// Forget removes the windows before one from the tally, and returns deletions of their records by partition, to be appended
+// there.
 func (t *Tally) Forget(before int64) map[keyedlog.Partition][]keyedlog.Record {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	dropped := make(map[keyedlog.Partition][]keyedlog.Record)
+	deletions := make(map[keyedlog.Partition][]keyedlog.Record)
 	for _, window := range slices.Sorted(maps.Keys(t.windows)) {
 		if window >= before {
 			break
 		}
-		for process, told := range t.windows[window] {
-			dropped[told.partition] = append(dropped[told.partition], keyedlog.Record{Key: key(window, process)})
+		for process, record := range t.windows[window] {
+			deletions[record.partition] = append(deletions[record.partition], keyedlog.Record{Key: key(window, process)})
 		}
 		delete(t.windows, window)
 	}
-	return dropped
+	return deletions
 }
--- a/internal/usage/teller.go
+++ b/internal/usage/teller.go
@@ -16,123 +16,125 @@
 )
 
 const (
-	// tellLeast and tellMost bound the pause between two appends of counts. The first count after a pause is told at once, so that a
-	// power loss costs the counts of the shorter pause at most. A store that takes no more lengthens it: 410 processes that all count
-	// make 1,370 appends a second at the shorter one and 205 at the longer.
-	tellLeast = 300 * time.Millisecond
-	tellMost  = 2 * time.Second
-	// finalAfter is how long after its end a window is told as final: requests that began in it are counted when they are answered.
-	finalAfter = 700 * time.Millisecond
-	// finalSpread is within what time the processes tell it, so that they don't all at once.
-	finalSpread = 200 * time.Millisecond
-	// keepWindows is how many windows are kept after they were told.
+	// minPublishInterval and maxPublishInterval limit the interval between two appends of counts. The first count after a pause
+	// is published at once, so that a power loss loses at most the counts of the shorter interval. The interval increases when
+	// the store refuses appends: 410 processes that all count make 1,370 appends a second at the shorter interval and 205 at the
+	// longer.
+	minPublishInterval = 300 * time.Millisecond
+	maxPublishInterval = 2 * time.Second
+	// finalDelay is the time after the end of a window at which its final counts are published: requests that started in it are
+	// counted when they are answered.
+	finalDelay = 700 * time.Millisecond
+	// finalJitter is the range of a random additional delay, so that not all processes publish at the same moment.
+	finalJitter = 200 * time.Millisecond
+	// keepWindows is the number of windows that are retained after their counts were published.
 	keepWindows = 4
-	// leaveTimeout bounds the last append of a process that ends.
+	// leaveTimeout is the timeout of the last append of a process that ends.
 	leaveTimeout = time.Second
 	separator    = "/"
 )
 
-// TellerConfig configures a teller.
+// TellerConfig configures a publisher.
 type TellerConfig struct {
 	Log     keyedlog.Log
 	Counter *Counter
-	// Machine names the machine that the process runs on.
+	// Machine is the ID of the machine that the process runs on.
 	Machine string
 	Logger  *log.Logger
 }
 
-// Teller tells the store what this process counts.
+// Teller publishes the counts of this process to the store.
 type Teller struct {
 	config    TellerConfig
 	partition keyedlog.Partition
-	// process is alone to this life of the process.
-	process string
-	spacing time.Duration
+	// process identifies this incarnation of the process.
+	process  string
+	interval time.Duration
 }
 
-// NewTeller returns a teller; Run tells.
+// NewTeller returns a publisher; Run starts publishing.
 func NewTeller(config TellerConfig) *Teller {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(config.Machine))
 	partitions := config.Log.Partitions(keyedlog.TopicUsage)
 	return &Teller{
-		config: config, process: config.Machine + "#" + strconv.FormatUint(rand.Uint64(), 36), spacing: tellLeast,
+		config: config, process: config.Machine + "#" + strconv.FormatUint(rand.Uint64(), 36), interval: minPublishInterval,
 		partition: keyedlog.Partition{Topic: keyedlog.TopicUsage, Number: int(hash.Sum32() % uint32(partitions))},
 	}
 }
 
-// key returns the key of the record of a window.
+// key returns the record key of a process's counts of a window.
 func key(window int64, process string) string {
 	return strconv.FormatInt(window, 10) + separator + process
 }
 
-// parseKey takes a key apart.
+// parseKey splits a record key into window and process.
 func parseKey(key string) (window int64, process string, ok bool) {
 	number, process, found := strings.Cut(key, separator)
 	window, err := strconv.ParseInt(number, 10, 64)
 	return window, process, found && err == nil
 }
 
-// Run tells what is counted until the context ends, and then once more that the process leaves.
+// Run publishes counts until the context ends, and then a last time with the notice that the process is leaving.
 func (t *Teller) Run(ctx context.Context) {
 	counter := t.config.Counter
 	windows := counter.windows
 	open := windows.Number(counter.clock.At(time.Now()))
-	spread := rand.N(finalSpread)
+	spread := rand.N(finalJitter)
 	sample := time.NewTicker(time.Second)
 	defer sample.Stop()
 	for ctx.Err() == nil {
-		// The clock is sampled between two looks, of which there is at least one in each window.
+		// The clock is sampled between two iterations, of which there is at least one in each window.
 		select {
 		case <-sample.C:
 			counter.clock.Sample()
 		default:
 		}
 		now := counter.clock.At(time.Now())
-		for ; !now.Before(windows.End(open).Add(finalAfter + spread)); open++ {
-			counter.close(open)
+		for ; !now.Before(windows.End(open).Add(finalDelay + spread)); open++ {
+			counter.markUnpublished(open)
 		}
 		records, changed := counter.next(open, open-keepWindows)
 		if len(records) > 0 {
-			t.tell(ctx, records)
-			pause.For(ctx, t.spacing)
+			t.publish(ctx, records)
+			pause.For(ctx, t.interval)
 			continue
 		}
-		closing := time.NewTimer(windows.End(open).Add(finalAfter + spread).Sub(now))
+		finalTimer := time.NewTimer(windows.End(open).Add(finalDelay + spread).Sub(now))
 		select {
 		case <-changed:
-		case <-closing.C:
+		case <-finalTimer.C:
 		case <-ctx.Done():
 		}
-		closing.Stop()
+		finalTimer.Stop()
 	}
 	t.leave(ctx, open)
 }
 
-// leave tells what was not told yet, and that nothing more is counted.
+// leave publishes the counts that were not published yet, and that nothing more will be counted.
 func (t *Teller) leave(ctx context.Context, open int64) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveTimeout)
 	defer cancel()
 	counter := t.config.Counter
 	now := counter.windows.Number(counter.clock.At(time.Now()))
 	for window := open; window <= now; window++ {
-		counter.close(window)
+		counter.markUnpublished(window)
 	}
 	records, _ := counter.next(now+1, 0)
 	if last := records[now]; last != nil {
 		last.Leaving = true
 	}
-	t.tell(ctx, records)
+	t.publish(ctx, records)
 }
 
-// tell writes records of windows; what can't be written is told again.
-func (t *Teller) tell(ctx context.Context, windows map[int64]*told) {
+// publish writes the counts of windows to the store; windows that cannot be written are scheduled to be published again.
+func (t *Teller) publish(ctx context.Context, windows map[int64]*windowCounts) {
 	var records []keyedlog.Record
 	for window, record := range windows {
 		record.Machine = t.config.Machine
 		value, err := record.MarshalMsg(nil)
 		if err != nil {
-			errorlog.Error(t.config.Logger, "counts of usage do not encode", err, "window", window)
+			errorlog.Error(t.config.Logger, "usage counts cannot be encoded", err, "window", window)
 			continue
 		}
 		records = append(records, keyedlog.Record{Key: key(window, t.process), Value: value})
@@ -143,11 +145,11 @@
 	_, err := t.config.Log.Append(ctx, t.partition, records, nil)
 	switch {
 	case err == nil:
-		t.spacing = max(tellLeast, t.spacing*3/4)
+		t.interval = max(minPublishInterval, t.interval*3/4)
 		return
 	case errors.Is(err, keyedlog.ErrThrottled):
-		t.spacing = min(tellMost, 2*t.spacing)
+		t.interval = min(maxPublishInterval, 2*t.interval)
 	}
-	errorlog.Debug(t.config.Logger, "counts of usage not told", err, "windows", len(windows))
-	t.config.Counter.again(windows)
+	errorlog.Debug(t.config.Logger, "usage counts not published", err, "windows", len(windows))
+	t.config.Counter.markAllUnpublished(windows)
 }
