--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -88,8 +88,8 @@
 
 // Scaling describes which engines can be ordered for a pool.
 type Scaling struct {
-	// Most is the maximum number of engines in one zone, regular and preemptible ones together.
-	Most int
+	// MaxPerZone is the maximum number of engines in one zone, regular and preemptible ones together.
+	MaxPerZone int
 	// ZonePrices are the prices of a second of a regular engine by zone, relative to each other.
 	ZonePrices map[string]float64
 }
@@ -145,7 +145,7 @@
 // Priority returns the priority of a tenant's work on a route, 0 being the highest. The tenant's own priority overrides the
 // route's.
 func (c *Catalog) Priority(route Route, tenantName string) int {
-	if known, ok := c.Tenants.Named(tenantName); ok && known.Ranked {
+	if known, ok := c.Tenants.Named(tenantName); ok && known.HasPriority {
 		return known.Priority
 	}
 	return route.Priority
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -75,7 +75,7 @@
 	viewPublisher *engineview.Publisher
 	viewReader    *engineview.Reader
 	// teller tells what tenants' requests this process has run, nil if that is not reported.
-	teller  *usage.Teller
+	teller  *usage.Publisher
 	metrics *metrics
 	ready   atomic.Bool
 }
@@ -180,11 +180,11 @@
 	clock := usage.NewClock()
 	windows := usage.Windows{Length: r.config.Settings.UsageWindow}
 	counter := usage.NewCounter(windows, clock)
-	r.teller = usage.NewTeller(usage.TellerConfig{
+	r.teller = usage.NewPublisher(usage.PublisherConfig{
 		Log: r.config.Log, Counter: counter, Machine: holderName(r.config.Settings), Logger: r.config.Logger,
 	})
 	reporter := usage.NewReporter(usage.ReporterConfig{
-		Log: r.config.Log, Receiver: r.config.Usage, Windows: windows, Clock: clock, Late: r.config.Settings.UsageLate,
+		Log: r.config.Log, Receiver: r.config.Usage, Windows: windows, Clock: clock, ReportLimit: r.config.Settings.UsageLate,
 		Logger: r.config.Logger,
 	})
 	return []duty.Duty{reporter}, counter
--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -168,8 +168,8 @@
 	for _, zone := range zones {
 		regular += zone.Regular
 	}
-	wanted := policy.EnginesWanted(slots, loadsOf(pool, loads), regular, len(zones)*pool.Scaling.Most)
-	counts := policy.ScaleOrders(wanted, pool.Scaling.Most, zones)
+	wanted := policy.EnginesWanted(slots, loadsOf(pool, loads), regular, len(zones)*pool.Scaling.MaxPerZone)
+	counts := policy.ScaleOrders(wanted, pool.Scaling.MaxPerZone, zones)
 	if !t.mayShrink(pool.Name, zones, counts) {
 		return nil
 	}
--- a/internal/scaler/scaler_test.go
+++ b/internal/scaler/scaler_test.go
@@ -90,7 +90,7 @@
 		store: memorylog.New(memorylog.Config{Partitions: 2, Delay: time.Millisecond}), provider: &provider{ordered: make(map[string]int)},
 		catalog: catalog.NewHolder(), directory: fleet.NewDirectory(),
 	}
-	scaling := &catalog.Scaling{Most: 10, ZonePrices: map[string]float64{"a": 1, "b": 1, "c": 1}}
+	scaling := &catalog.Scaling{MaxPerZone: 10, ZonePrices: map[string]float64{"a": 1, "b": 1, "c": 1}}
 	w.catalog.Set(catalog.New(1, nil, map[string]catalog.Pool{
 		poolName: {Name: poolName, Models: []string{"m"}, Scaling: scaling}, "fixed": {Name: "fixed"},
 	}, catalog.Limits{}))
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -11,9 +11,9 @@
 type Tenant struct {
 	Name string
 	// Priority is the priority of the tenant's work, 0 being the highest, and overrides the priority of the route. It is only
-	// used if Ranked is set.
-	Priority int
-	Ranked   bool
+	// used if HasPriority is set.
+	Priority    int
+	HasPriority bool
 	// Regions are the regions whose engines may run the tenant's requests, nil for all.
 	Regions []string
 	// Keys are the digests of the tenant's API keys.
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -13,7 +13,7 @@
 	var tenants []tenant.Tenant
 	for i := range count {
 		tenants = append(tenants, tenant.Tenant{
-			Name: fmt.Sprint("tenant", i), Priority: i % 3, Ranked: i%2 == 0,
+			Name: fmt.Sprint("tenant", i), Priority: i % 3, HasPriority: i%2 == 0,
 			Keys: []tenant.Digest{tenant.DigestOf(fmt.Sprint("key", i)), tenant.DigestOf(fmt.Sprint("second", i))},
 		})
 	}
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -47,9 +47,9 @@
 	Receiver Receiver
 	Windows  Windows
 	Clock    *Clock
-	// Late is the maximum time between the end of a window and its report.
-	Late   time.Duration
-	Logger *log.Logger
+	// ReportLimit is the maximum time between the end of a window and its report.
+	ReportLimit time.Duration
+	Logger      *log.Logger
 }
 
 // Reporter performs the duty of reporting usage; it implements duty.Duty.
@@ -151,7 +151,7 @@
 // wait for the machines that it returns as missing is over. ok is false if the context ended first.
 func (r *Reporter) await(ctx context.Context, tally *Tally, window int64) (missing []string, ok bool) {
 	end := r.config.Windows.End(window)
-	latest := end.Add(time.Duration(waitShare * float64(r.config.Late)))
+	latest := end.Add(time.Duration(waitShare * float64(r.config.ReportLimit)))
 	for {
 		now := r.config.Clock.At(time.Now())
 		if !now.Before(end.Add(minReportDelay)) {
--- a/internal/usage/teller.go
+++ b/internal/usage/teller.go
@@ -34,8 +34,8 @@
 	separator    = "/"
 )
 
-// TellerConfig configures a publisher.
-type TellerConfig struct {
+// PublisherConfig configures a publisher.
+type PublisherConfig struct {
 	Log     keyedlog.Log
 	Counter *Counter
 	// Machine is the ID of the machine that the process runs on.
@@ -43,21 +43,21 @@
 	Logger  *log.Logger
 }
 
-// Teller publishes the counts of this process to the store.
-type Teller struct {
-	config    TellerConfig
+// Publisher publishes the counts of this process to the store.
+type Publisher struct {
+	config    PublisherConfig
 	partition keyedlog.Partition
 	// process identifies this incarnation of the process.
 	process  string
 	interval time.Duration
 }
 
-// NewTeller returns a publisher; Run starts publishing.
-func NewTeller(config TellerConfig) *Teller {
+// NewPublisher returns a publisher; Run starts publishing.
+func NewPublisher(config PublisherConfig) *Publisher {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(config.Machine))
 	partitions := config.Log.Partitions(keyedlog.TopicUsage)
-	return &Teller{
+	return &Publisher{
 		config: config, process: config.Machine + "#" + strconv.FormatUint(rand.Uint64(), 36), interval: minPublishInterval,
 		partition: keyedlog.Partition{Topic: keyedlog.TopicUsage, Number: int(hash.Sum32() % uint32(partitions))},
 	}
@@ -76,7 +76,7 @@
 }
 
 // Run publishes counts until the context ends, and then a last time with the notice that the process is leaving.
-func (t *Teller) Run(ctx context.Context) {
+func (t *Publisher) Run(ctx context.Context) {
 	counter := t.config.Counter
 	windows := counter.windows
 	open := windows.Number(counter.clock.At(time.Now()))
@@ -112,7 +112,7 @@
 }
 
 // leave publishes the counts that were not published yet, and that nothing more will be counted.
-func (t *Teller) leave(ctx context.Context, open int64) {
+func (t *Publisher) leave(ctx context.Context, open int64) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveTimeout)
 	defer cancel()
 	counter := t.config.Counter
@@ -128,7 +128,7 @@
 }
 
 // publish writes the counts of windows to the store; windows that cannot be written are scheduled to be published again.
-func (t *Teller) publish(ctx context.Context, windows map[int64]*windowCounts) {
+func (t *Publisher) publish(ctx context.Context, windows map[int64]*windowCounts) {
 	var records []keyedlog.Record
 	for window, record := range windows {
 		record.Machine = t.config.Machine
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -112,7 +112,7 @@
 func (env *testEnv) replica(machine string) *replica {
 	r := &replica{env: env, machine: machine, clock: NewClock()}
 	r.counter = NewCounter(Windows{window}, r.clock)
-	teller := NewTeller(TellerConfig{
+	teller := NewPublisher(PublisherConfig{
 		Log: storetimeout.New(env.store.For(machine)), Counter: r.counter, Machine: machine, Logger: log.New(io.Discard),
 	})
 	ctx, cancel := context.WithCancel(env.test.Context())
@@ -127,7 +127,7 @@
 	r.kill = kill
 	bounded := storetimeout.New(r.env.store.For(r.machine))
 	reporter := NewReporter(ReporterConfig{
-		Log: bounded, Receiver: r.env.receiver, Windows: Windows{window}, Clock: r.clock, Late: reportLimit, Logger: log.New(io.Discard),
+		Log: bounded, Receiver: r.env.receiver, Windows: Windows{window}, Clock: r.clock, ReportLimit: reportLimit, Logger: log.New(io.Discard),
 	})
 	holder := duty.NewHolder(duty.Config{
 		Log: bounded, Machine: r.machine, Lease: lease, Duties: []duty.Duty{reporter}, Logger: log.New(io.Discard),
