--- a/internal/usage/teller.go
+++ b/internal/usage/teller.go
@@ -76,8 +76,8 @@
 }
 
 // Run publishes counts until the context ends, and then a last time with the notice that the process is leaving.
-func (t *Publisher) Run(ctx context.Context) {
-	counter := t.config.Counter
+func (p *Publisher) Run(ctx context.Context) {
+	counter := p.config.Counter
 	windows := counter.windows
 	open := windows.Number(counter.clock.At(time.Now()))
 	spread := rand.N(finalJitter)
@@ -96,8 +96,8 @@
 		}
 		records, changed := counter.next(open, open-keepWindows)
 		if len(records) > 0 {
-			t.publish(ctx, records)
-			pause.For(ctx, t.interval)
+			p.publish(ctx, records)
+			pause.For(ctx, p.interval)
 			continue
 		}
 		finalTimer := time.NewTimer(windows.End(open).Add(finalDelay + spread).Sub(now))
@@ -108,14 +108,14 @@
 		}
 		finalTimer.Stop()
 	}
-	t.leave(ctx, open)
+	p.leave(ctx, open)
 }
 
 // leave publishes the counts that were not published yet, and that nothing more will be counted.
-func (t *Publisher) leave(ctx context.Context, open int64) {
+func (p *Publisher) leave(ctx context.Context, open int64) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaveTimeout)
 	defer cancel()
-	counter := t.config.Counter
+	counter := p.config.Counter
 	now := counter.windows.Number(counter.clock.At(time.Now()))
 	for window := open; window <= now; window++ {
 		counter.markUnpublished(window)
@@ -124,32 +124,32 @@
 	if last := records[now]; last != nil {
 		last.Leaving = true
 	}
-	t.publish(ctx, records)
+	p.publish(ctx, records)
 }
 
 // publish writes the counts of windows to the store; windows that cannot be written are scheduled to be published again.
-func (t *Publisher) publish(ctx context.Context, windows map[int64]*windowCounts) {
+func (p *Publisher) publish(ctx context.Context, windows map[int64]*windowCounts) {
 	var records []keyedlog.Record
 	for window, record := range windows {
-		record.Machine = t.config.Machine
+		record.Machine = p.config.Machine
 		value, err := record.MarshalMsg(nil)
 		if err != nil {
-			errorlog.Error(t.config.Logger, "usage counts cannot be encoded", err, "window", window)
+			errorlog.Error(p.config.Logger, "usage counts cannot be encoded", err, "window", window)
 			continue
 		}
-		records = append(records, keyedlog.Record{Key: key(window, t.process), Value: value})
+		records = append(records, keyedlog.Record{Key: key(window, p.process), Value: value})
 	}
 	if len(records) == 0 {
 		return
 	}
-	_, err := t.config.Log.Append(ctx, t.partition, records, nil)
+	_, err := p.config.Log.Append(ctx, p.partition, records, nil)
 	switch {
 	case err == nil:
-		t.interval = max(minPublishInterval, t.interval*3/4)
+		p.interval = max(minPublishInterval, p.interval*3/4)
 		return
 	case errors.Is(err, keyedlog.ErrThrottled):
-		t.interval = min(maxPublishInterval, 2*t.interval)
+		p.interval = min(maxPublishInterval, 2*p.interval)
 	}
-	errorlog.Debug(t.config.Logger, "usage counts not published", err, "windows", len(windows))
-	t.config.Counter.markAllUnpublished(windows)
+	errorlog.Debug(p.config.Logger, "usage counts not published", err, "windows", len(windows))
+	p.config.Counter.markAllUnpublished(windows)
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -112,12 +112,12 @@
 func (env *testEnv) replica(machine string) *replica {
 	r := &replica{env: env, machine: machine, clock: NewClock()}
 	r.counter = NewCounter(Windows{window}, r.clock)
-	teller := NewPublisher(PublisherConfig{
+	publisher := NewPublisher(PublisherConfig{
 		Log: storetimeout.New(env.store.For(machine)), Counter: r.counter, Machine: machine, Logger: log.New(io.Discard),
 	})
 	ctx, cancel := context.WithCancel(env.test.Context())
 	r.cancel = cancel
-	r.running.Go(func() { teller.Run(ctx) })
+	r.running.Go(func() { publisher.Run(ctx) })
 	return r
 }
 
