--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -76,7 +76,7 @@
 	viewPublisher *engineview.Publisher
 	viewReader    *engineview.Reader
 	// teller publishes the usage of tenants' requests that this process has run, nil if it is not reported.
-	teller  *usage.Teller
+	teller  *usage.Publisher
 	metrics *metrics
 	ready   atomic.Bool
 }
@@ -183,11 +183,11 @@
 	clock := usage.NewClock()
 	windows := usage.Windows{Length: r.config.Settings.UsageWindow}
 	counter := usage.NewCounter(windows, clock)
-	r.teller = usage.NewTeller(usage.TellerConfig{
+	r.teller = usage.NewPublisher(usage.PublisherConfig{
 		Log: r.config.Log, Counter: counter, Machine: memberName(r.config.Settings), Logger: r.config.Logger,
 	})
 	reporter := usage.NewReporter(usage.ReporterConfig{
-		Log: r.config.Log, Receiver: r.config.Usage, Windows: windows, Clock: clock, Late: r.config.Settings.UsageReportLimit,
+		Log: r.config.Log, Receiver: r.config.Usage, Windows: windows, Clock: clock, ReportLimit: r.config.Settings.UsageReportLimit,
 		Logger: r.config.Logger,
 	})
 	return []duty.Duty{reporter}, counter
