--- a/internal/broadcast/broadcast.go
+++ b/internal/broadcast/broadcast.go
@@ -1,8 +1,8 @@
-// Package broadcast tells any number of goroutines that something has changed. Whoever waits takes the channel, looks at the
-// state, and then waits on the channel: a change between the look and the wait is not missed.
+// Package broadcast notifies any number of goroutines of a change of state. A waiting goroutine gets the channel, checks the
+// state, and then waits on the channel, so it does not miss a change between the check and the wait.
 package broadcast
 
-// Signal tells changes. It is not safe for concurrent use: the lock of the state that it tells of guards it.
+// Signal notifies of changes of some state. It is not safe for concurrent use: the lock of that state must guard it.
 type Signal struct {
 	changed chan struct{}
 }
@@ -17,13 +17,13 @@
 	return s.changed
 }
 
-// Notify tells a change.
+// Notify wakes all goroutines that wait for a change, by closing the current channel.
 func (s *Signal) Notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Closed tells whether a channel that carries nothing has been closed.
+// Closed reports whether a channel has been closed. No value may ever be sent on the channel.
 func Closed(channel <-chan struct{}) bool {
 	select {
 	case <-channel:
--- a/internal/engineapi/engineapi.go
+++ b/internal/engineapi/engineapi.go
@@ -1,5 +1,6 @@
-// Package engineapi is what the product asks of one engine (a model sampler or an application server): to run an opaque
-// request, to take an order, to report on itself. It holds types, errors and the interface; an adapter fills it.
+// Package engineapi defines the interface to one engine (a model sampler or an application server): run an opaque
+// request, execute a load order, report the engine's state. It holds types, errors and the interface; an adapter
+// implements it.
 package engineapi
 
 import (
@@ -14,130 +15,131 @@
 
 // Errors of a call to an engine. After any other error the request may have run.
 var (
-	// ErrNotSent says that no byte of the request reached the engine.
+	// ErrNotSent means that no byte of the request reached the engine.
 	ErrNotSent = errors.New("engine: request was not sent")
-	// ErrForeignAnswer says that the answer carried another request's id. The request may have run.
+	// ErrForeignAnswer means that the answer carried the id of another request. The request may have run.
 	ErrForeignAnswer = errors.New("engine: answer belongs to another request")
 )
 
-// NoPriority leaves the priority of a call to the engine.
+// NoPriority is the Priority of a call that states none: the engine chooses its own.
 const NoPriority = -1
 
 // Call is one request as it is sent to an engine.
 type Call struct {
 	Method string
-	// Target is path and query, unchanged from the caller.
+	// Target is the path and query, unchanged from the caller.
 	Target string
 	Host   string
-	// Header holds the caller's headers; those that an adapter sets itself are overwritten.
+	// Header holds the caller's headers. The adapter overwrites those that it sets itself.
 	Header http.Header
 	Body   []byte
-	// RequestID must be echoed by the answer.
+	// RequestID must be repeated in the answer.
 	RequestID string
-	// Remaining is the time that the engine may take; 0 states none.
+	// Remaining is the time left for the engine to answer; 0 means no limit is stated.
 	Remaining time.Duration
-	// ResumeAfter is the number of the last event that is already there; 0 starts from the beginning.
+	// ResumeAfter is the ID of the last event already received; 0 starts from the beginning.
 	ResumeAfter int64
-	// Priority ranks the call, 0 first; NoPriority states none.
+	// Priority is the rank of the call, 0 being the highest; NoPriority states none.
 	Priority int
-	// Tenant names whose request it is, empty for nobody's.
+	// Tenant is the name of the tenant that sent the request, empty if it belongs to none.
 	Tenant string
 }
 
-// Reply is the head of an engine's answer, with its body still to be read.
+// Reply is the status and headers of an engine's answer, with the body still unread.
 type Reply struct {
 	Status int
 	Header http.Header
-	// NotRun says that the engine promises not to have run the request.
+	// NotRun reports whether the engine guarantees that it did not run the request.
 	NotRun bool
-	// Stamp is the engine's signature; an answer without one is not the engine's word on the request.
+	// Stamp is the engine's signature. An answer without one must not be treated as the engine's statement on the request.
 	Stamp string
-	// Version is the weight version that the events begin with, 0 if none is stated.
+	// Version is the weight version of the first event, 0 if none is stated.
 	Version int64
-	// Body ends with an error other than io.EOF when it was cut short. Closing it early makes the engine drop the request.
+	// Body ends with an error other than io.EOF if it was truncated. Closing it early makes the engine cancel the request.
 	Body io.ReadCloser
 }
 
 // Event is one event of a streamed answer.
 type Event struct {
-	// ID counts the events of a run from 1.
+	// ID is the number of the event in its run, from 1.
 	ID   int64
 	Data string
-	// Version is the weight version from this event on, 0 where it does not change.
+	// Version is the weight version from this event on, 0 if it is unchanged.
 	Version int64
-	// Raw holds the event's bytes as they came, with the blank line that ends it.
+	// Raw holds the bytes of the event as received, including the blank line that ends it.
 	Raw []byte
 }
 
-// EventReader splits a body into events. Next returns io.EOF only after a whole stream.
+// EventReader splits a body into events. Next returns io.EOF only after a complete stream.
 type EventReader interface {
 	Next() (Event, error)
 }
 
-// LoadMode says what becomes of the runs of the old version.
+// LoadMode selects what happens to runs in progress under the old version.
 type LoadMode int
 
 // Load modes.
 const (
-	// LoadWaits lets runs end first.
+	// LoadWaits loads the version after the runs in progress have ended.
 	LoadWaits LoadMode = iota
-	// LoadCuts resets the streams of runs.
+	// LoadCuts resets the streams of the runs in progress.
 	LoadCuts
-	// LoadKeeps lets runs go on under the new version.
+	// LoadKeeps continues the runs in progress under the new version.
 	LoadKeeps
 )
 
-// LoadOrder tells an engine to take a version of a model.
+// LoadOrder orders an engine to load a version of a model.
 type LoadOrder struct {
 	Model   string
 	Version int64
 	Mode    LoadMode
 	Holder  string
-	// Fence rises with every holder.
+	// Fence is a fencing token that increases with every holder.
 	Fence int64
-	// ExpectedSequence is the number of orders that the engine must have taken; an order that arrives late fails by it.
+	// ExpectedSequence is the number of orders that the engine must have accepted before. An order that arrives late is
+	// rejected because the number differs.
 	ExpectedSequence int64
 }
 
-// OrderOutcome is an engine's answer to an order.
+// OrderOutcome is the outcome of an order, OrderUnknown if the engine gave no answer.
 type OrderOutcome int
 
 // Outcomes of an order.
 const (
-	// OrderUnknown says that the order drew no answer; it may be carried out, now or later.
+	// OrderUnknown means that no answer was received; the order may be executed, now or later.
 	OrderUnknown OrderOutcome = iota
-	// OrderTaken says that the order is being carried out.
+	// OrderTaken means that the engine accepted the order and is executing it.
 	OrderTaken
-	// OrderHolds says that the engine already serves the version.
+	// OrderHolds means that the engine already serves the version.
 	OrderHolds
-	// OrderConflict says that another order is in progress or that the sequence does not match.
+	// OrderConflict means that another order is in progress or that the sequence does not match.
 	OrderConflict
-	// OrderRefused says that the engine takes no such order from this holder.
+	// OrderRefused means that the engine accepts no such order from this holder.
 	OrderRefused
-	// OrderMisdirected says that another engine has the address now.
+	// OrderMisdirected means that the address belongs to another engine now.
 	OrderMisdirected
 )
 
-// Report is an engine's lagging word on itself.
+// Report is the state that an engine reports of itself. It may be out of date.
 type Report struct {
-	// Versions maps models to the version served.
+	// Versions maps each model to the version served.
 	Versions map[string]int64
-	// Busy says that an order is in progress.
+	// Busy reports whether an order is in progress.
 	Busy bool
-	// Sequence counts the orders taken since the engine's start.
+	// Sequence is the number of orders accepted since the engine started.
 	Sequence int64
 	Waiting  int
 	Running  int
 }
 
-// Client calls engines.
+// Client sends requests and orders to engines.
 type Client interface {
-	// Send sends a request and returns the head of the answer.
+	// Send sends a request and returns the status and headers of the answer.
 	Send(ctx context.Context, engine fleet.Engine, call Call) (*Reply, error)
-	// Events reads the events of an answer's body.
+	// Events returns a reader of the events in the body of an answer.
 	Events(body io.Reader) EventReader
-	// Order gives an order.
+	// Order sends a load order.
 	Order(ctx context.Context, engine fleet.Engine, order LoadOrder) (OrderOutcome, error)
-	// Report asks for the engine's report.
+	// Report requests the engine's report.
 	Report(ctx context.Context, engine fleet.Engine) (Report, error)
 }
--- a/internal/errorlog/errorlog.go
+++ b/internal/errorlog/errorlog.go
@@ -1,6 +1,6 @@
-// Package errorlog logs errors in one line each: the plain text of the error under the key "error", and what package oops
-// attached to it as keys of their own. An error of a context that was cancelled is expected when work is given up or a
-// process stops, and so is no warning: Warn logs it at debug level.
+// Package errorlog logs each error in one line: the plain text of the error under the key "error", and the context that
+// package oops attached to it under separate keys. Warn logs the error of a cancelled context at debug level, because it
+// is expected when work is abandoned or a process stops.
 package errorlog
 
 import (
@@ -14,15 +14,15 @@
 	"github.com/samber/oops"
 )
 
-// errorKey is the key of the error's text.
+// errorKey is the log key of the error text.
 const errorKey = "error"
 
-// Error logs that something failed for good. A nil logger discards; a nil error is left out.
+// Error logs a permanent failure. With a nil logger nothing is logged; a nil error is omitted from the line.
 func Error(logger *log.Logger, message string, err error, keyvals ...any) {
 	write(logger, log.ErrorLevel, message, err, keyvals)
 }
 
-// Warn logs that something failed and is tried again or done without.
+// Warn logs a failure after which the operation is retried or skipped.
 func Warn(logger *log.Logger, message string, err error, keyvals ...any) {
 	level := log.WarnLevel
 	if errors.Is(err, context.Canceled) {
@@ -31,7 +31,7 @@
 	write(logger, level, message, err, keyvals)
 }
 
-// Debug logs a failure that belongs to ordinary work.
+// Debug logs a failure that is expected in normal operation.
 func Debug(logger *log.Logger, message string, err error, keyvals ...any) {
 	write(logger, log.DebugLevel, message, err, keyvals)
 }
@@ -43,8 +43,8 @@
 	logger.Log(level, message, Fields(err, keyvals...)...)
 }
 
-// Fields returns keyvals with the error's context, in order of its keys, and its text added. A key that keyvals hold already
-// is not repeated.
+// Fields returns keyvals followed by the context of the error, sorted by key, and its text. A context key that keyvals
+// already contain is omitted.
 func Fields(err error, keyvals ...any) []any {
 	if err == nil {
 		return keyvals
@@ -70,7 +70,7 @@
 	return false
 }
 
-// oneLine joins the lines of an error that holds several.
+// oneLine joins the lines of a multi-line error text with semicolons.
 func oneLine(text string) string {
 	return strings.ReplaceAll(text, "\n", "; ")
 }
--- a/internal/errorlog/errorlog_test.go
+++ b/internal/errorlog/errorlog_test.go
@@ -13,7 +13,7 @@
 	"github.com/samber/oops"
 )
 
-// TestOneLinePerError logs wrapped, joined and cancelled errors: each takes one line, without a trace of the code.
+// TestOneLinePerError checks that wrapped, joined and cancelled errors are logged in one line each, without a stack trace.
 func TestOneLinePerError(t *testing.T) {
 	cause := errors.New("refused")
 	wrapped := oops.With("stream", "requests/1", "node", "n1").Wrapf(cause, "append")
@@ -37,5 +37,5 @@
 			is.Equal(strings.TrimSuffix(written.String(), "\n"), test.want)
 		})
 	}
-	Error(nil, "nobody listens", cause)
+	Error(nil, "logger is nil", cause)
 }
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// Budget bounds what a process writes to its log.
+// Budget limits the log output of a process.
 type Budget struct {
-	// Lines is the most lines in a second, Bytes the most bytes.
+	// Lines and Bytes are the maximum numbers of lines and bytes per second.
 	Lines int
 	Bytes int
-	// Queue is how many lines may wait for the output.
+	// Queue is the maximum number of lines that wait to be written.
 	Queue int
 }
 
-// DefaultBudget is enough for a few hundred requests a second with a line or two for each.
+// DefaultBudget is enough for a few hundred requests per second with one or two lines each.
 var DefaultBudget = Budget{Lines: 2000, Bytes: 1 << 20, Queue: 2048}
 
-// BoundedWriter passes lines on to an output without ever blocking the caller: lines beyond the budget, or beyond what may
-// wait while the output is not read, are dropped, counted, and the count is written. Each Write must be one whole line.
+// BoundedWriter forwards lines to an output and never blocks the caller. Lines over the budget, and lines that exceed the
+// queue while the output blocks, are dropped; their count is written to the output. Each Write must be one complete line.
 type BoundedWriter struct {
 	output  io.Writer
 	budget  Budget
@@ -30,16 +30,16 @@
 	total   atomic.Uint64
 }
 
-// NewBoundedWriter returns a writer; Run passes its lines on.
+// NewBoundedWriter returns a writer whose Run forwards the lines to output.
 func NewBoundedWriter(output io.Writer, budget Budget) *BoundedWriter {
 	return &BoundedWriter{output: output, budget: budget, lines: make(chan []byte, budget.Queue)}
 }
 
-// Write queues a line, or drops it.
+// Write queues a copy of a line, or drops the line if the queue is full.
 func (w *BoundedWriter) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+	queued := append([]byte(nil), line...)
 	select {
-	case w.lines <- kept:
+	case w.lines <- queued:
 	default:
 		w.drop()
 	}
@@ -51,21 +51,21 @@
 	w.total.Add(1)
 }
 
-// Dropped counts the lines dropped since the start.
+// Dropped returns the number of lines dropped since the writer was created.
 func (w *BoundedWriter) Dropped() uint64 {
 	return w.total.Load()
 }
 
-// Run passes lines on until the context ends, then what is waiting.
+// Run forwards lines until the context ends, and then writes the queued lines.
 func (w *BoundedWriter) Run(ctx context.Context) {
-	window := time.Now()
+	windowStart := time.Now()
 	lines, bytes := 0, 0
 	for {
 		select {
 		case line := <-w.lines:
-			if now := time.Now(); now.Sub(window) >= time.Second {
-				window, lines, bytes = now, 0, 0
-				w.tellDropped()
+			if now := time.Now(); now.Sub(windowStart) >= time.Second {
+				windowStart, lines, bytes = now, 0, 0
+				w.writeDropped()
 			}
 			lines++
 			bytes += len(line)
@@ -75,25 +75,25 @@
 			}
 			_, _ = w.output.Write(line)
 		case <-ctx.Done():
-			w.finish()
+			w.flush()
 			return
 		}
 	}
 }
 
-func (w *BoundedWriter) finish() {
+func (w *BoundedWriter) flush() {
 	for {
 		select {
 		case line := <-w.lines:
 			_, _ = w.output.Write(line)
 		default:
-			w.tellDropped()
+			w.writeDropped()
 			return
 		}
 	}
 }
 
-func (w *BoundedWriter) tellDropped() {
+func (w *BoundedWriter) writeDropped() {
 	if dropped := w.dropped.Swap(0); dropped > 0 {
 		_, _ = fmt.Fprintf(w.output, "level=warn msg=\"log lines dropped\" lines=%d\n", dropped)
 	}
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -12,19 +12,19 @@
 	"github.com/matryer/is"
 )
 
-// stuck is an output that nobody reads.
-type stuck struct{ release chan struct{} }
+// blockedWriter is an output whose writes block until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(line []byte) (int, error) {
-	<-s.release
+func (w blockedWriter) Write(line []byte) (int, error) {
+	<-w.release
 	return len(line), nil
 }
 
-// TestWritingNeverBlocks checks that lines are dropped and counted, not waited for, while nobody reads the output.
-func TestWritingNeverBlocks(t *testing.T) {
+// TestWriteNeverBlocks checks that Write drops and counts lines instead of blocking while the output is blocked.
+func TestWriteNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		output := stuck{make(chan struct{})}
+		output := blockedWriter{make(chan struct{})}
 		writer := NewBoundedWriter(output, Budget{Lines: 1000, Bytes: 1 << 20, Queue: 10})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -45,8 +45,8 @@
 	})
 }
 
-// TestVolumeIsBounded checks the budget of a second, and that what was dropped is told.
-func TestVolumeIsBounded(t *testing.T) {
+// TestLinesPerSecondLimited checks that the line budget is applied per second and that the number of dropped lines is written.
+func TestLinesPerSecondLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var output bytes.Buffer
@@ -71,7 +71,7 @@
 	})
 }
 
-// BenchmarkLine tells what a decision's line costs the request that it is about.
+// BenchmarkLine measures the cost that logging the outcome of a request adds to that request.
 func BenchmarkLine(b *testing.B) {
 	writer := NewBoundedWriter(io.Discard, Budget{Lines: 1 << 30, Bytes: 1 << 40, Queue: 1 << 16})
 	ctx, cancel := context.WithCancel(b.Context())
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging makes the structured logger of a process.
+// Package logging creates the structured logger of a process.
 package logging
 
 import (
@@ -9,8 +9,8 @@
 	"github.com/hillfork/hillfork/internal/settings"
 )
 
-// New returns a logger that writes lines of a level or above, as text or JSON. Level and format have been checked by
-// package settings; an unknown level counts as info.
+// New returns a logger that writes lines of the given level or above, as text or JSON. Package settings has validated
+// level and format; an unknown level is treated as info.
 func New(output io.Writer, level, format string) *log.Logger {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -1,25 +1,25 @@
-// Package metric is how the roles of a node tell their counters, so that only the node knows the metrics library.
+// Package metric defines how the roles of a node publish their counters, so that only the node depends on the metrics library.
 package metric
 
 import "sync/atomic"
 
-// Metric is one counter as it stands.
+// Metric is the value of one counter at the time of reading.
 type Metric struct {
-	// Name is without the prefix of program and role, as in "reads_total".
+	// Name excludes the prefix of program and role, as in "reads_total".
 	Name string
-	// Help says what is counted, in a sentence.
+	// Help describes in one sentence what is counted.
 	Help  string
 	Value uint64
 }
 
-// Counter is a counter with the name and help under which it is told.
+// Counter is a counter with the name and help text under which it is published.
 type Counter struct {
 	Value *atomic.Uint64
 	Name  string
 	Help  string
 }
 
-// Read returns the counters as they stand.
+// Read returns the current values of the counters.
 func Read(counters []Counter) []Metric {
 	metrics := make([]Metric, len(counters))
 	for i, counter := range counters {
--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -1,46 +1,46 @@
-// Package mutation switches protective mechanisms of a node off, one by one, so that a test can show that a trace notices.
-// Only code sets a Set, through node.Config: no setting, flag or message does. In production the Set is empty, and asking
-// it costs one comparison of bits.
+// Package mutation disables safety mechanisms of a node one by one, so that a test can show that checking a trace detects
+// the missing mechanism. A Set is only set in code, through node.Config, never by a setting, flag or message. In production
+// the Set is empty, and a check of it costs one bit comparison.
 package mutation
 
-// Set is a set of mechanisms that are switched off. The zero value switches off none.
+// Set is a set of disabled mechanisms. The zero value disables none.
 type Set uint32
 
-// Mechanisms that can be switched off.
+// Mechanisms that can be disabled.
 const (
-	// NoEpochCheck folds claims and records of any epoch as if they were of the current one.
+	// NoEpochCheck applies claims and records of any epoch as if they belonged to the current one.
 	NoEpochCheck Set = 1 << iota
-	// NoSequenceCheck folds repeated records again.
+	// NoSequenceCheck applies repeated records again.
 	NoSequenceCheck
-	// NoStalenessAtHandover hands samples over whatever their age.
+	// NoStalenessAtHandover hands samples over regardless of their staleness.
 	NoStalenessAtHandover
-	// NoStalenessAtCommit records answers whatever their age.
+	// NoStalenessAtCommit records answers regardless of their staleness.
 	NoStalenessAtCommit
-	// NoReplacement keeps answers that have passed the staleness bound.
+	// NoReplacement keeps answers that are over the staleness bound.
 	NoReplacement
-	// NoStartRecord dispatches unsafe requests without a Start in the log.
+	// NoStartRecord dispatches unsafe requests without writing a Start record to the log.
 	NoStartRecord
-	// RetryUnsafe sends an unsafe request to another engine when contact with the first was lost.
+	// RetryUnsafe sends an unsafe request to another engine after contact with the first was lost.
 	RetryUnsafe
-	// NotRunWithoutProof tells that a request was not run when contact with its engine was lost.
+	// NotRunWithoutProof reports a request as not run after contact with its engine was lost.
 	NotRunWithoutProof
-	// NoBundleConfirmation hands samples over without reading the bundle stream to its tail.
+	// NoBundleConfirmation hands samples over without first reading the bundle stream to its tail.
 	NoBundleConfirmation
-	// VersionsFromOrders names the version that the engine was ordered to load, in place of the one its tokens name.
+	// VersionsFromOrders records the version that the engine was ordered to load instead of the one stated with its tokens.
 	VersionsFromOrders
-	// KeepForeignChunks takes chunks of other answers and attempts.
+	// KeepForeignChunks accepts chunks of other answers and attempts.
 	KeepForeignChunks
-	// KeepRepeatedChunks takes chunks in the order in which they come, repeats included.
+	// KeepRepeatedChunks accepts chunks in the order of arrival, including repeated ones.
 	KeepRepeatedChunks
-	// IgnoreLeaving gives engines work after they said that they leave.
+	// IgnoreLeaving assigns work to engines after they announced that they are leaving.
 	IgnoreLeaving
-	// SkipDrain ends a node on a planned stop without finishing what is in flight.
+	// SkipDrain makes a planned stop end the node without finishing the work in flight.
 	SkipDrain
-	// IgnoreLearned takes no bundle from peers.
+	// IgnoreLearned accepts no bundles from peers.
 	IgnoreLearned
-	// BundleReverts puts the bundle that the log tells in force although a newer one was learned.
+	// BundleReverts puts the bundle of the log in force although a newer one was learned from a peer.
 	BundleReverts
 )
 
-// Has tells whether all mechanisms of other are switched off.
+// Has reports whether all mechanisms of other are disabled.
 func (s Set) Has(other Set) bool { return s&other == other }
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -10,12 +10,12 @@
 	"github.com/matryer/is"
 )
 
-// TestNothingReadsMutationsFromOutside shows that no program, setting or command can switch a mechanism off: only the
-// packages that hold the hooks, and the lab that replays with them, know of this one.
-func TestNothingReadsMutationsFromOutside(t *testing.T) {
+// TestSettingsAndCommandsDoNotImportMutation checks that no program, setting or command can disable a mechanism: only the
+// packages with the hooks, and the lab that replays with mutations, may import this package.
+func TestSettingsAndCommandsDoNotImportMutation(t *testing.T) {
 	is := is.New(t)
 	root := "../.."
-	users := 0
+	importers := 0
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
@@ -24,17 +24,17 @@
 		if err != nil || !strings.Contains(string(content), `hillfork/internal/mutation"`) {
 			return err
 		}
-		users++
-		inside, _ := filepath.Rel(root, path)
-		for _, outside := range []string{"cmd", "internal/settings", "internal/cli", "internal/lab/command", "internal/bundle/schema"} {
-			if strings.HasPrefix(filepath.ToSlash(inside), outside) {
-				t.Errorf("%s imports package mutation", inside)
+		importers++
+		file, _ := filepath.Rel(root, path)
+		for _, forbidden := range []string{"cmd", "internal/settings", "internal/cli", "internal/lab/command", "internal/bundle/schema"} {
+			if strings.HasPrefix(filepath.ToSlash(file), forbidden) {
+				t.Errorf("%s imports package mutation", file)
 			}
 		}
 		return nil
 	})
 	is.NoErr(err)
-	is.True(users > 0)
+	is.True(importers > 0)
 	is.Equal(Set(0).Has(NoEpochCheck), false)
 	is.True((NoEpochCheck | SkipDrain).Has(SkipDrain))
 }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits, and stops waiting when a context ends.
+// Package pause waits for a duration or until a context ends.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a duration. It returns false if the context ended before.
+// For waits for a duration. It returns false if the context ended first.
 func For(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/uptime/uptime.go
+++ b/internal/uptime/uptime.go
@@ -1,5 +1,5 @@
-// Package uptime tells how long the machine has been suspended. The steady clock of the process, by which package time measures and its
-// timers run, stands still meanwhile, so that whoever must not act on something old has to add that time to its age.
+// Package uptime measures how long the machine has been suspended. The monotonic clock, on which package time bases durations and timers,
+// does not advance during a suspension, so code that must not act on outdated state has to add the suspended time to the age of that state.
 package uptime
 
 import (
@@ -9,65 +9,65 @@
 )
 
 const (
-	// leastSuspension is the shortest suspension that counts. Whatever must not act on something old allows for more than that.
-	leastSuspension = 10 * time.Millisecond
-	// readings bounds how often the clocks are read anew because the process was interrupted between them, readingMost how long one
-	// reading may take: a few system calls.
-	readings    = 4
-	readingMost = time.Millisecond
+	// minSuspension is the shortest suspension that is counted. Code that must not act on outdated state has a larger safety margin.
+	minSuspension = 10 * time.Millisecond
+	// maxReadings limits how often the clocks are read because the process was interrupted between the system calls of a reading.
+	// maxReadDuration is the limit of one reading, which takes a few system calls.
+	maxReadings     = 4
+	maxReadDuration = time.Millisecond
 )
 
-// Suspended returns how long the machine has been suspended since it booted, 0 where the kernel doesn't tell.
+// Suspended returns how long the machine has been suspended since it booted, 0 if the kernel does not report it.
 func Suspended() time.Duration {
 	for reading := 1; ; reading++ {
 		before, _ := read(unix.CLOCK_MONOTONIC)
-		whole, ok := read(unix.CLOCK_BOOTTIME)
+		bootTime, ok := read(unix.CLOCK_BOOTTIME)
 		after, _ := read(unix.CLOCK_MONOTONIC)
 		switch {
 		case !ok:
 			return 0
-		case after-before < readingMost || reading == readings:
-			return whole - after
+		case after-before < maxReadDuration || reading == maxReadings:
+			return bootTime - after
 		}
 	}
 }
 
-// Between returns how long the machine was suspended between two readings of Suspended.
-func Between(then, now time.Duration) time.Duration {
-	if now-then < leastSuspension {
+// Between returns how long the machine was suspended between two results of Suspended, 0 if for less than minSuspension.
+func Between(earlier, now time.Duration) time.Duration {
+	if now-earlier < minSuspension {
 		return 0
 	}
-	return now - then
+	return now - earlier
 }
 
-// Meter tells how long the machine has been suspended, as Suspended does.
+// Meter returns how long the machine has been suspended since it booted, as Suspended does.
 type Meter func() time.Duration
 
-// Mark returns the mark of this moment.
+// Mark returns a mark of the current time.
 func (m Meter) Mark() Mark {
 	return Mark{at: time.Now(), suspended: m(), meter: m}
 }
 
-// Mark is a moment that keeps its age over suspensions. The zero value is no moment.
+// Mark is a point in time whose age includes suspensions of the machine. The zero value is unset.
 type Mark struct {
 	at        time.Time
 	suspended time.Duration
 	meter     Meter
 }
 
-// IsZero tells whether the mark is no moment.
+// IsZero reports whether the mark is unset.
 func (m Mark) IsZero() bool {
 	return m.at.IsZero()
 }
 
-// Moved returns the mark at another moment. A suspension since the mark counts as one since that moment too.
+// Moved returns the mark with another time. A suspension since the mark was made also counts as one since the new time.
 func (m Mark) Moved(at time.Time) Mark {
 	m.at = at
 	return m
 }
 
-// At returns when the mark was, by the steady clock as it runs now: a suspension since then moves it back. It is the zero time for no
-// moment.
+// At returns the time of the mark on the current monotonic clock, moved back by the suspensions since then. It returns the zero time for
+// an unset mark.
 func (m Mark) At() time.Time {
 	if m.IsZero() {
 		return time.Time{}
@@ -75,7 +75,7 @@
 	return m.at.Add(-Between(m.suspended, m.meter()))
 }
 
-// Age is how long ago the mark was, time in suspension included.
+// Age returns the time since the mark, including suspensions.
 func (m Mark) Age() time.Duration {
 	return time.Since(m.At())
 }
--- a/internal/uptime/uptime_test.go
+++ b/internal/uptime/uptime_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestSuspendedStandsStill checks that the time in suspension does not grow while the process runs.
-func TestSuspendedStandsStill(t *testing.T) {
+// TestSuspendedConstantWhileRunning checks that the suspended time does not increase while the process runs.
+func TestSuspendedConstantWhileRunning(t *testing.T) {
 	is := is.New(t)
 	first := Suspended()
 	for range 1000 {
@@ -18,23 +18,24 @@
 	is.Equal(Between(first, first+4*time.Second), 4*time.Second)
 }
 
-// TestMark checks that a mark ages with the steady clock and by suspensions, also where it was moved, and that no moment stays none.
-func TestMark(t *testing.T) {
+// TestMarkAgeIncludesSuspension checks that the age of a mark increases with the monotonic clock and by suspensions, also after Moved,
+// and that an unset mark stays unset.
+func TestMarkAgeIncludesSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		asleep := time.Hour
-		meter := Meter(func() time.Duration { return asleep })
-		began := time.Now()
+		suspended := time.Hour
+		meter := Meter(func() time.Duration { return suspended })
+		start := time.Now()
 		mark := meter.Mark()
-		is.Equal(mark.At(), began)
+		is.Equal(mark.At(), start)
 		time.Sleep(time.Second)
 		is.Equal(mark.Age(), time.Second)
 
-		asleep += leastSuspension - time.Nanosecond
+		suspended += minSuspension - time.Nanosecond
 		is.Equal(mark.Age(), time.Second)
-		asleep += 4*time.Second - leastSuspension + time.Nanosecond
+		suspended += 4*time.Second - minSuspension + time.Nanosecond
 		is.Equal(mark.Age(), 5*time.Second)
-		is.Equal(mark.At(), began.Add(-4*time.Second))
+		is.Equal(mark.At(), start.Add(-4*time.Second))
 		is.Equal(mark.Moved(time.Now()).Age(), 4*time.Second)
 		is.Equal(meter.Mark().Age(), time.Duration(0))
 
