--- a/internal/engineapi/engineapi.go
+++ b/internal/engineapi/engineapi.go
@@ -108,10 +108,10 @@
 const (
 	// OrderUnknown means that no answer was received; the order may be executed, now or later.
 	OrderUnknown OrderOutcome = iota
-	// OrderTaken means that the engine accepted the order and is executing it.
-	OrderTaken
-	// OrderHolds means that the engine already serves the version.
-	OrderHolds
+	// OrderAccepted means that the engine accepted the order and is executing it.
+	OrderAccepted
+	// OrderAlreadyServed means that the engine already serves the version.
+	OrderAlreadyServed
 	// OrderConflict means that another order is in progress or that the sequence does not match.
 	OrderConflict
 	// OrderRefused means that the engine accepts no such order from this holder.
--- a/internal/standin/memoryengine/memoryengine.go
+++ b/internal/standin/memoryengine/memoryengine.go
@@ -395,7 +395,7 @@
 		return engineapi.OrderConflict
 	}
 	if e.Versions[order.Model] == order.Version {
-		return engineapi.OrderHolds
+		return engineapi.OrderAlreadyServed
 	}
 	e.sequence++
 	e.busyUntil = time.Now().Add(time.Duration(stretch * float64(e.behaviour.Load)))
@@ -404,7 +404,7 @@
 	}
 	e.Versions = maps.Clone(e.Versions)
 	e.Versions[order.Model] = order.Version
-	return engineapi.OrderTaken
+	return engineapi.OrderAccepted
 }
 
 // Report tells an engine's state.
--- a/internal/weightroll/order.go
+++ b/internal/weightroll/order.go
@@ -38,9 +38,9 @@
 	sent := time.Now()
 	outcome, err := r.send(ctx, step, mode, sequence, window)
 	switch outcome {
-	case engineapi.OrderTaken:
+	case engineapi.OrderAccepted:
 		r.setSequence(step.Engine, sequence+1)
-	case engineapi.OrderHolds:
+	case engineapi.OrderAlreadyServed:
 		r.serving(ctx, pool, step)
 		return 0, nil
 	case engineapi.OrderUnknown:
@@ -49,12 +49,12 @@
 		r.forgetSequence(step.Engine.ID)
 		return 0, errors.Join(errNotTaken, err)
 	}
-	if !r.awaitLoad(ctx, step, outcome == engineapi.OrderTaken) {
+	if !r.awaitLoad(ctx, step, outcome == engineapi.OrderAccepted) {
 		r.forgetSequence(step.Engine.ID)
 		return 0, errNotTaken
 	}
 	r.serving(ctx, pool, step)
-	if outcome != engineapi.OrderTaken {
+	if outcome != engineapi.OrderAccepted {
 		return 0, nil
 	}
 	return time.Since(sent), nil
