--- a/internal/explain/bound.go
+++ b/internal/explain/bound.go
@@ -6,49 +6,50 @@
 	"time"
 )
 
-// bound returns the least time in which the groups that the trainer waits for could have been whole, with all lengths known, no
-// waits, every event at the pace of the quickest engine, and so many places: the longer of the longest item that is needed and
-// the needed work over the places. Neither can be beaten, since the groups that are left out of each are those of the longest
-// items, and of the most work. It is 0 if lines of items are missing.
-func bound(step *Step, pace time.Duration, places int) time.Duration {
-	if places == 0 {
+// lowerBound returns a lower bound on the time in which the groups that the trainer waits for could have been complete, given all
+// lengths in advance, no waits, every event at the pace of the fastest engine, and this number of slots. It is the larger of the
+// time of the longest required item and the required work divided by the slots. No schedule can be faster than either, since the
+// groups that are left out are those with the longest items in the first, and those with the most work in the second. It is 0 if
+// lines of items are missing.
+func lowerBound(step *Step, pace time.Duration, slots int) time.Duration {
+	if slots == 0 {
 		return 0
 	}
-	groups := step.groups()
-	slices.SortStableFunc(groups, func(a, b *group) int { return cmp.Compare(a.longest, b.longest) })
+	groups := step.completeGroups()
+	slices.SortStableFunc(groups, func(a, b *group) int { return cmp.Compare(a.maxEvents, b.maxEvents) })
 	longest := 0
-	for _, known := range needed(groups, step.Wanted) {
-		longest = max(longest, known.longest)
+	for _, g := range requiredGroups(groups, step.Wanted) {
+		longest = max(longest, g.maxEvents)
 	}
-	slices.SortStableFunc(groups, func(a, b *group) int { return cmp.Compare(a.work, b.work) })
+	slices.SortStableFunc(groups, func(a, b *group) int { return cmp.Compare(a.totalEvents, b.totalEvents) })
 	work := 0
-	for _, known := range needed(groups, step.Wanted) {
-		work += known.work
+	for _, g := range requiredGroups(groups, step.Wanted) {
+		work += g.totalEvents
 	}
-	return max(time.Duration(longest)*pace, time.Duration(work)*pace/time.Duration(places))
+	return max(time.Duration(longest)*pace, time.Duration(work)*pace/time.Duration(slots))
 }
 
-// placesSeen returns the most items that ran at once.
-func placesSeen(steps []*Step) int {
+// maxConcurrentRuns returns the largest number of items that ran at the same time.
+func maxConcurrentRuns(steps []*Step) int {
 	type change struct {
 		at    time.Time
 		count int
 	}
 	var changes []change
 	for _, step := range steps {
-		for _, found := range step.items {
-			for _, run := range found.runs {
-				if !run.Until.IsZero() {
-					changes = append(changes, change{run.Began, 1}, change{run.Until, -1})
+		for _, it := range step.items {
+			for _, run := range it.runs {
+				if !run.EndedAt.IsZero() {
+					changes = append(changes, change{run.StartedAt, 1}, change{run.EndedAt, -1})
 				}
 			}
 		}
 	}
 	slices.SortFunc(changes, func(a, b change) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.count, b.count)) })
-	running, most := 0, 0
+	running, peak := 0, 0
 	for _, next := range changes {
 		running += next.count
-		most = max(most, running)
+		peak = max(peak, running)
 	}
-	return most
+	return peak
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain tells the story of one request, item or job from the log lines of any number of nodes: which decisions
-// touched it, in order of time, with the inputs they rested on, and the one that settled it. It reads text and JSON lines as
-// package logging writes them, also with something before them, such as a node's name.
+// Package explain reconstructs the history of one request, item or job from the log lines of any number of nodes: the decisions
+// that affected it in order of time, with their inputs, and the decision that settled it. It also summarizes the steps of trainers
+// and the states of replicas. It reads text and JSON lines as package logging writes them, also with a prefix such as a node's name.
 package explain
 
 import (
@@ -21,67 +21,68 @@
 	Level   string
 	Message string
 	Fields  map[string]string
-	// Source is what stands before the line, such as a node's name.
+	// Source is the text before the log line, such as a node's name.
 	Source string
 }
 
-// Story is what the lines tell of an id.
-type Story struct {
+// History is the log lines about one id.
+type History struct {
 	ID string
-	// Lines are those that name the id, the job of the item it stands for, or the content of the request that was withheld, in order of
-	// time.
+	// Lines are those that name the id, those about the job of the item with this id, and those about the content of the withheld
+	// request with this id, in order of time.
 	Lines []Line
-	// Settled is the last decision that settled the id, nil if no line tells one.
+	// Settled is the last decision that settled the id, nil if no line records one.
 	Settled *Line
 }
 
-// identifiers are the keys whose values name requests, what they ask, items and jobs.
-var identifiers = []string{"request", "content", "item", "job"}
+// identifierKeys are the keys whose values identify requests, their content, items and jobs.
+var identifierKeys = []string{"request", "content", "item", "job"}
 
-// settling are the messages that settle a request, an item or a job, by the key that names it.
-var settling = map[string][]string{
+// settlingMessages are the messages that settle a request, an item or a job, by the key that identifies it.
+var settlingMessages = map[string][]string{
 	"request": {"request settled"},
 	"item":    {"item listed", "item given up, its route is gone", "item given up, its scorer fails"},
 	"job":     {"job ended", "job does not exist"},
 }
 
-// longestLine bounds a line; longer ones end the reading.
-const longestLine = 1 << 20
+// maxLineBytes is the maximum length of a line; reading stops with an error at a longer one.
+const maxLineBytes = 1 << 20
 
-// Read tells the story of an id from log lines. Lines that are no log lines are passed over.
-func Read(input io.Reader, id string) (Story, error) {
+// Read returns the history of an id from log lines. It skips lines that are not log lines.
+func Read(input io.Reader, id string) (History, error) {
 	all, err := readLines(input, nil, func(lineHead) bool { return true })
-	return Tell(all, id), err
+	return BuildHistory(all, id), err
 }
 
-// lineHead is what a line says before its keys.
+// lineHead is the part of a line before its keys.
 type lineHead struct {
 	Time    time.Time
 	Message string
 	Source  string
 }
 
-// readLines returns the log lines that are wanted by their heads, with these keys, nil for all. Lines that are no log lines are passed
-// over. Most lines of a large fleet are of no use to a question, and reading their heads alone takes a tenth of the time.
+// readLines returns the log lines whose heads wanted accepts, reduced to these keys, or with all keys if keys is nil. It skips lines
+// that are not log lines. Most lines of a large fleet are irrelevant to a query, and reading only their heads takes a tenth of the
+// time.
 func readLines(input io.Reader, keys []string, wanted func(lineHead) bool) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(input)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		head, known := readHead(scanner.Text())
-		if known && !wanted(head) {
+		head, parsed := readHead(scanner.Text())
+		if parsed && !wanted(head) {
 			continue
 		}
 		line, ok := Parse(scanner.Text())
-		if ok && (known || wanted(lineHead{line.Time, line.Message, line.Source})) {
-			lines = append(lines, line.with(keys))
+		if ok && (parsed || wanted(lineHead{line.Time, line.Message, line.Source})) {
+			lines = append(lines, line.withKeys(keys))
 		}
 	}
 	return lines, scanner.Err()
 }
 
-// with returns the line with these keys alone, as it is for nil.
-func (l Line) with(keys []string) Line {
+// withKeys returns the line reduced to these keys, or unchanged if keys is nil.
+func (l Line) withKeys(keys []string) Line {
 	if keys == nil {
 		return l
 	}
@@ -95,13 +96,13 @@
 	return l
 }
 
-// Beginnings of the keys of a JSON line as package logging writes it, in this order.
+// Prefixes of the fields of a JSON line as package logging writes it, in this order.
 const (
 	timeKey    = `{"time":"`
 	messageKey = `"msg":"`
 )
 
-// readHead reads the head of a JSON line. It returns false for a line of another form, which may be a log line all the same.
+// readHead reads the head of a JSON line. It returns false for a line of another format, which may still be a log line.
 func readHead(text string) (lineHead, bool) {
 	source, rest, found := strings.Cut(text, timeKey)
 	if !found {
@@ -120,27 +121,27 @@
 	return lineHead{Time: moment, Message: message, Source: strings.TrimSpace(source)}, true
 }
 
-// Tell tells the story of an id.
-func Tell(all []Line, id string) Story {
-	story := Story{ID: id}
+// BuildHistory returns the history of an id.
+func BuildHistory(all []Line, id string) History {
+	history := History{ID: id}
 	job := jobOf(all, id)
 	content := contentOf(all, id)
 	for _, line := range all {
-		if names(line, id) || job != "" && line.Fields["job"] == job && line.Fields["item"] == "" ||
-			content != "" && line.Fields["content"] == content && !slices.Contains(settling["request"], line.Message) {
-			story.Lines = append(story.Lines, line)
+		if namesID(line, id) || job != "" && line.Fields["job"] == job && line.Fields["item"] == "" ||
+			content != "" && line.Fields["content"] == content && !slices.Contains(settlingMessages["request"], line.Message) {
+			history.Lines = append(history.Lines, line)
 		}
 	}
-	slices.SortStableFunc(story.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	for i, line := range story.Lines {
-		if settles(line, id) {
-			story.Settled = &story.Lines[i]
+	slices.SortStableFunc(history.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	for i, line := range history.Lines {
+		if settlesID(line, id) {
+			history.Settled = &history.Lines[i]
 		}
 	}
-	return story
+	return history
 }
 
-// jobOf returns the job of the item that an id names.
+// jobOf returns the job of the item with this id.
 func jobOf(all []Line, id string) string {
 	for _, line := range all {
 		if line.Fields["item"] == id && line.Fields["job"] != "" {
@@ -150,8 +151,8 @@
 	return ""
 }
 
-// contentOf returns the content of the request that an id names, if engines ended under it. Other requests of that content tell why it
-// was withheld.
+// contentOf returns the content of the request with this id, if engines ended under it. Lines of other requests with the same content
+// show why it was withheld.
 func contentOf(all []Line, id string) string {
 	for _, line := range all {
 		if line.Fields["request"] == id && line.Fields["content"] != "" {
@@ -161,12 +162,12 @@
 	return ""
 }
 
-func names(line Line, id string) bool {
-	return slices.ContainsFunc(identifiers, func(key string) bool { return line.Fields[key] == id })
+func namesID(line Line, id string) bool {
+	return slices.ContainsFunc(identifierKeys, func(key string) bool { return line.Fields[key] == id })
 }
 
-func settles(line Line, id string) bool {
-	for key, messages := range settling {
+func settlesID(line Line, id string) bool {
+	for key, messages := range settlingMessages {
 		if line.Fields[key] == id && slices.Contains(messages, line.Message) {
 			return true
 		}
@@ -179,7 +180,7 @@
 	fieldPattern = regexp.MustCompile(`([A-Za-z_]+)=("(?:[^"\\]|\\.)*"|\S*)`)
 )
 
-// Parse reads one line. It returns false for what is no log line.
+// Parse reads one line. It returns false for text that is not a log line.
 func Parse(text string) (Line, bool) {
 	if start := strings.IndexByte(text, '{'); start >= 0 {
 		if line, ok := parseJSON(text[start:]); ok {
@@ -211,17 +212,17 @@
 }
 
 func parseText(text string) (Line, bool) {
-	place := timePattern.FindStringIndex(text)
-	if place == nil {
+	position := timePattern.FindStringIndex(text)
+	if position == nil {
 		return Line{}, false
 	}
-	moment, err := time.Parse(time.RFC3339Nano, text[place[0]:place[1]])
+	moment, err := time.Parse(time.RFC3339Nano, text[position[0]:position[1]])
 	if err != nil {
 		return Line{}, false
 	}
-	rest := strings.TrimSpace(text[place[1]:])
+	rest := strings.TrimSpace(text[position[1]:])
 	level, rest, _ := strings.Cut(rest, " ")
-	line := Line{Time: moment, Level: level, Source: strings.TrimSpace(text[:place[0]]), Fields: make(map[string]string)}
+	line := Line{Time: moment, Level: level, Source: strings.TrimSpace(text[:position[0]]), Fields: make(map[string]string)}
 	line.Message = rest
 	if first := fieldPattern.FindStringIndex(rest); first != nil {
 		line.Message = strings.TrimSpace(rest[:first[0]])
@@ -232,28 +233,28 @@
 	return line, true
 }
 
-// Write prints a story as text.
-func (s Story) Write(output io.Writer) error {
+// Write prints the history as text.
+func (s History) Write(output io.Writer) error {
 	var text strings.Builder
 	if len(s.Lines) == 0 {
 		fmt.Fprintf(&text, "no line names %s\n", s.ID)
 		_, err := io.WriteString(output, text.String())
 		return err
 	}
-	began := s.Lines[0].Time
+	start := s.Lines[0].Time
 	for _, line := range s.Lines {
-		fmt.Fprintf(&text, "%+9.3fs %-24s %s%s\n", line.Time.Sub(began).Seconds(), line.Source, line.Message, fieldsOf(line))
+		fmt.Fprintf(&text, "%+9.3fs %-24s %s%s\n", line.Time.Sub(start).Seconds(), line.Source, line.Message, formatFields(line))
 	}
 	if s.Settled == nil {
 		text.WriteString("nothing settled it in these lines\n")
 	} else {
-		fmt.Fprintf(&text, "settled by: %s%s\n", s.Settled.Message, fieldsOf(*s.Settled))
+		fmt.Fprintf(&text, "settled by: %s%s\n", s.Settled.Message, formatFields(*s.Settled))
 	}
 	_, err := io.WriteString(output, text.String())
 	return err
 }
 
-func fieldsOf(line Line) string {
+func formatFields(line Line) string {
 	var text strings.Builder
 	for _, key := range slices.Sorted(maps.Keys(line.Fields)) {
 		fmt.Fprintf(&text, " %s=%s", key, line.Fields[key])
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// lines are those of three nodes, out of order, with a node's name before the text ones, and one that is no log line.
+// lines are log lines of three nodes, out of order. The text lines start with a node's name, and one line is not a log line.
 const lines = `front-b 2026-09-27T08:19:00.250Z INFO item listed job=j1 item=i1 dead=false versions="[1 2]" age=250ms
 front-a 2026-09-27T08:19:00.000Z INFO job submitted job=j1 outcome=done items=2
 panic: not a log line
@@ -20,7 +20,7 @@
 front-a 2026-09-27T08:19:01.000Z INFO request settled request=r1 outcome=timed_out status=0 attempts=2 left=-1ms
 `
 
-func TestStories(t *testing.T) {
+func TestHistories(t *testing.T) {
 	tests := []struct {
 		id      string
 		lines   []string
@@ -34,26 +34,26 @@
 	for _, test := range tests {
 		t.Run(test.id, func(t *testing.T) {
 			is := is.New(t)
-			story, err := explain.Read(strings.NewReader(lines), test.id)
+			history, err := explain.Read(strings.NewReader(lines), test.id)
 			is.NoErr(err)
 			var messages []string
-			for _, line := range story.Lines {
+			for _, line := range history.Lines {
 				messages = append(messages, line.Message)
 			}
 			is.Equal(messages, test.lines)
-			is.Equal(story.Settled != nil, test.settled != "")
-			if story.Settled != nil {
-				is.Equal(story.Settled.Message, test.settled)
+			is.Equal(history.Settled != nil, test.settled != "")
+			if history.Settled != nil {
+				is.Equal(history.Settled.Message, test.settled)
 			}
 			var text bytes.Buffer
-			is.NoErr(story.Write(&text))
+			is.NoErr(history.Write(&text))
 			is.True(text.Len() > 0)
 		})
 	}
 }
 
-// TestReadsWhatTheLoggerWrites keeps the reader in step with the logger, in both forms.
-func TestReadsWhatTheLoggerWrites(t *testing.T) {
+// TestParsesLinesOfLogger guards against a difference between the parser and the logger's output, in both formats.
+func TestParsesLinesOfLogger(t *testing.T) {
 	for _, format := range []string{"text", "json"} {
 		t.Run(format, func(t *testing.T) {
 			is := is.New(t)
@@ -77,9 +77,9 @@
 	})
 }
 
-// TestAWithheldRequestIsExplained checks that the story of a request that was withheld tells under which others of its content engines
-// ended, and not how those were settled.
-func TestAWithheldRequestIsExplained(t *testing.T) {
+// TestHistoryOfWithheldRequest checks that the history of a withheld request contains the lines about engines that ended under other
+// requests with the same content, but not the lines that settled those requests.
+func TestHistoryOfWithheldRequest(t *testing.T) {
 	is := is.New(t)
 	const withheld = `front-a 2026-09-27T08:19:00.100Z INFO answer broke off request=r1 content=c1 engine=e1 ended=true
 front-b 2026-09-27T08:19:00.200Z INFO answer broke off request=r2 content=c1 engine=e2 ended=true
@@ -88,11 +88,11 @@
 front-a 2026-09-27T08:19:00.300Z INFO request settled request=r4 outcome=withheld content=c1
 front-a 2026-09-27T08:19:00.400Z INFO request settled request=r5 outcome=withheld content=c1
 `
-	story, err := explain.Read(strings.NewReader(withheld), "r4")
+	history, err := explain.Read(strings.NewReader(withheld), "r4")
 	is.NoErr(err)
-	is.Equal(len(story.Lines), 3)
-	is.Equal(story.Settled.Fields["request"], "r4")
-	story, err = explain.Read(strings.NewReader(withheld), "c1")
+	is.Equal(len(history.Lines), 3)
+	is.Equal(history.Settled.Fields["request"], "r4")
+	history, err = explain.Read(strings.NewReader(withheld), "c1")
 	is.NoErr(err)
-	is.Equal(len(story.Lines), 4)
+	is.Equal(len(history.Lines), 4)
 }
--- a/internal/explain/fleet.go
+++ b/internal/explain/fleet.go
@@ -13,51 +13,53 @@
 	"time"
 )
 
-// ErrNoReplicas says that log lines name no replica.
+// ErrNoReplicas reports that no log line names a replica.
 var ErrNoReplicas = errors.New("no log line comes with the name of its replica before it")
 
-// State is how a replica stood at its last line.
+// State is the state of a replica as of its last line.
 type State string
 
-// States of replicas, the ones that want a look first.
+// States of replicas, the ones that need attention first.
 const (
-	// StateCutOff has lost a partition of the store or its group and has not regained it.
+	// StateCutOff means that the replica lost a partition of the store or its group and has not regained it.
 	StateCutOff State = "cut off"
-	// StateTakeover was dealt a partition of jobs that it does not run yet. One of orders doesn't count: where no pool of models has
-	// its orders in it, its owner has nothing to take over.
+	// StateTakeover means that the replica was assigned a partition of jobs that it does not run yet. Partitions of orders don't count:
+	// if no pool of models has its orders in the partition, the owner has nothing to take over.
 	StateTakeover State = "in takeover"
-	// StateStarting was started and is not ready yet.
+	// StateStarting means that the process has started and is not ready yet.
 	StateStarting State = "starting"
 	StateServing  State = "serving"
-	// StateStopped ended as planned, or was on its way to.
+	// StateStopped means that the replica stopped as planned or is stopping.
 	StateStopped State = "stopped"
 )
 
-// states are all of them in the order of the table.
+// states are all states in the order of the table.
 var states = []State{StateCutOff, StateTakeover, StateStarting, StateServing, StateStopped}
 
-// Replica is what the lines of one replica tell of it. Counts are over all lines, all else is as of the last one.
+// Replica is the state of one replica according to its lines. Counts cover all lines, all other fields are as of the last line.
 type Replica struct {
 	Name  string `json:"name"`
 	State State  `json:"state"`
-	// Since is when the state began, as far as lines tell.
+	// Since is the start of the state, as far as the lines show.
 	Since time.Time `json:"since"`
-	// Last is when the replica wrote its last line, Quiet how long before the last line of all that was.
-	Last   time.Time     `json:"last"`
-	Quiet  time.Duration `json:"quiet_ns"`
-	Starts int           `json:"starts"`
-	// Configuration is the version in force, 0 if no line tells, Behind how many older that is than the newest at any replica.
-	Configuration int64 `json:"configuration"`
-	Behind        int64 `json:"behind"`
-	// Owned are the partitions that it works on, Gained those that it was dealt and does not work on yet.
+	// Last is the time of the replica's last line, SilentFor the time from there to the last line of the fleet.
+	Last      time.Time     `json:"last"`
+	SilentFor time.Duration `json:"quiet_ns"`
+	Starts    int           `json:"starts"`
+	// Configuration is the version in force, 0 if no line names it. VersionsBehind is its distance to the newest version of any
+	// replica.
+	Configuration  int64 `json:"configuration"`
+	VersionsBehind int64 `json:"behind"`
+	// Owned are the partitions that the replica runs, Gained those that were assigned to it and that it does not run yet.
 	Owned  []string `json:"owned"`
 	Gained []string `json:"gained"`
-	// Lost are the partitions and groups of the store that it has lost and not regained, Losses how often it lost any.
+	// Lost are the partitions and groups of the store that the replica lost and has not regained, Losses is how many times it lost
+	// any.
 	Lost   []string `json:"lost"`
 	Losses int      `json:"losses"`
-	// OldestLoss is when the first of those was last known to be in step, zero if nothing is lost or no line tells.
+	// OldestLoss is when the earliest of the lost ones was last known to be in sync, zero if nothing is lost or no line shows it.
 	OldestLoss time.Time `json:"oldest_loss,omitzero"`
-	// Settled counts the requests that it settled, Refused those of them that had not run.
+	// Settled counts the requests that the replica settled, Refused those of them that did not run.
 	Settled int `json:"settled"`
 	Refused int `json:"refused"`
 
@@ -66,44 +68,44 @@
 	lost                    map[string]time.Time
 }
 
-// Fleet is what lines tell of all replicas.
+// Fleet is the state of all replicas according to the lines.
 type Fleet struct {
-	// Replicas are in the order of their states; in each the ones that are furthest behind with the configuration come first, then those that
-	// lost something of the store the longest ago.
+	// Replicas are in the order of their states. Within a state, those whose configuration is the furthest behind come first, then
+	// those with the oldest loss.
 	Replicas []*Replica `json:"replicas"`
 	// Last is the time of the last line.
 	Last time.Time `json:"last"`
 }
 
-// jobsPrefix begins the names of partitions of jobs.
+// jobsPrefix is the prefix of the names of job partitions.
 const jobsPrefix = "jobs/"
 
-// outcomeNotRun is the outcome of requests that were refused.
+// outcomeNotRun is the outcome of refused requests.
 const outcomeNotRun = "not_run"
 
-// fleetMessages are the messages that tell how a replica stands.
-var fleetMessages = map[string]func(r *Replica, line Line){
-	"started":                  (*Replica).start,
+// fleetMessageHandlers are the messages that affect the state of a replica, with the functions that apply them.
+var fleetMessageHandlers = map[string]func(r *Replica, line Line){
+	"started":                  (*Replica).recordStart,
 	"ready":                    func(r *Replica, _ Line) { r.ready = true },
 	"stopping":                 func(r *Replica, _ Line) { r.stopped = true },
 	"stopped":                  func(r *Replica, _ Line) { r.stopped = true },
-	"configuration in force":   (*Replica).configure,
+	"configuration in force":   (*Replica).recordConfiguration,
 	"partition gained":         func(r *Replica, line Line) { r.gained[line.Fields["partition"]] = true },
-	"partition taken over":     (*Replica).own,
-	"order lease taken over":   (*Replica).own,
-	"partition released":       (*Replica).release,
-	"store partition lost":     func(r *Replica, line Line) { r.lose(line.Fields["partition"], line, "confirmed_ago") },
-	"group lost":               func(r *Replica, line Line) { r.lose(line.Fields["group"], line, "heard_ago") },
+	"partition taken over":     (*Replica).recordOwned,
+	"order lease taken over":   (*Replica).recordOwned,
+	"partition released":       (*Replica).recordReleased,
+	"store partition lost":     func(r *Replica, line Line) { r.recordLoss(line.Fields["partition"], line, "confirmed_ago") },
+	"group lost":               func(r *Replica, line Line) { r.recordLoss(line.Fields["group"], line, "heard_ago") },
 	"store partition regained": func(r *Replica, line Line) { delete(r.lost, line.Fields["partition"]) },
 	"group joined":             func(r *Replica, line Line) { delete(r.lost, line.Fields["group"]) },
-	"request settled":          (*Replica).settle,
+	"request settled":          (*Replica).recordSettled,
 }
 
-// fleetKeys are the keys that are read of them.
+// fleetKeys are the keys that are read from these messages.
 var fleetKeys = []string{"version", "partition", "group", "confirmed_ago", "heard_ago", "outcome"}
 
-// ReadFleet reads how replicas stand from log lines, each with its replica's name before it. Lines that are no log lines are passed
-// over.
+// ReadFleet reads the states of replicas from log lines that are prefixed with the name of their replica. It skips lines that are not
+// log lines.
 func ReadFleet(input io.Reader) (*Fleet, error) {
 	fleet := &Fleet{}
 	replicas := make(map[string]*Replica)
@@ -117,22 +119,22 @@
 		}
 		replicas[name].Last = later(replicas[name].Last, head.Time)
 		fleet.Last = later(fleet.Last, head.Time)
-		_, tells := fleetMessages[head.Message]
-		return tells
+		_, relevant := fleetMessageHandlers[head.Message]
+		return relevant
 	})
 	if err != nil {
 		return nil, err
 	}
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	for _, line := range lines {
-		replicas[replicaOf(line.Source)].take(line)
+		replicas[replicaOf(line.Source)].apply(line)
 	}
 	fleet.Replicas = slices.Collect(maps.Values(replicas))
 	fleet.finish()
 	return fleet, nil
 }
 
-// replicaOf returns the name before a line: the last word, since a time may stand before it.
+// replicaOf returns the replica's name from the text before a line: the last word, since a time may precede the name.
 func replicaOf(source string) string {
 	words := strings.Fields(source)
 	if len(words) == 0 {
@@ -152,19 +154,19 @@
 	return &Replica{Name: name, State: StateServing, owned: make(map[string]bool), gained: make(map[string]bool), lost: make(map[string]time.Time)}
 }
 
-// take takes the next line that tells how the replica stands.
-func (r *Replica) take(line Line) {
-	fleetMessages[line.Message](r, line)
+// apply updates the replica by the next line that affects its state.
+func (r *Replica) apply(line Line) {
+	fleetMessageHandlers[line.Message](r, line)
 	if r.Since.IsZero() {
 		r.Since = line.Time
 	}
-	if state := r.state(); state != r.State {
+	if state := r.currentState(); state != r.State {
 		r.State, r.Since = state, line.Time
 	}
 }
 
-// state returns how the replica stands by what was taken.
-func (r *Replica) state() State {
+// currentState returns the state that follows from the lines applied so far.
+func (r *Replica) currentState() State {
 	switch {
 	case r.stopped:
 		return StateStopped
@@ -179,7 +181,7 @@
 	}
 }
 
-// gainedJobs tells whether the replica was dealt a partition of jobs that it does not run yet.
+// gainedJobs reports whether the replica was assigned a partition of jobs that it does not run yet.
 func (r *Replica) gainedJobs() bool {
 	for partition := range r.gained {
 		if strings.HasPrefix(partition, jobsPrefix) {
@@ -189,8 +191,8 @@
 	return false
 }
 
-// start takes that a new process began: it holds nothing yet.
-func (r *Replica) start(Line) {
+// recordStart records the start of a new process, which owns nothing yet.
+func (r *Replica) recordStart(Line) {
 	r.Starts++
 	r.started, r.ready, r.stopped = true, false, false
 	clear(r.owned)
@@ -198,24 +200,25 @@
 	clear(r.lost)
 }
 
-func (r *Replica) configure(line Line) {
+func (r *Replica) recordConfiguration(line Line) {
 	if version, err := strconv.ParseInt(line.Fields["version"], 10, 64); err == nil {
 		r.Configuration = version
 	}
 }
 
-func (r *Replica) own(line Line) {
+func (r *Replica) recordOwned(line Line) {
 	delete(r.gained, line.Fields["partition"])
 	r.owned[line.Fields["partition"]] = true
 }
 
-func (r *Replica) release(line Line) {
+func (r *Replica) recordReleased(line Line) {
 	delete(r.gained, line.Fields["partition"])
 	delete(r.owned, line.Fields["partition"])
 }
 
-// lose takes that something of the store was lost; ago is the key that says how long before it was last in step.
-func (r *Replica) lose(name string, line Line, ago string) {
+// recordLoss records the loss of a partition or group of the store. ago is the key of the time since the partition or group was last
+// known to be in sync.
+func (r *Replica) recordLoss(name string, line Line, ago string) {
 	r.Losses++
 	var since time.Time
 	if age, err := time.ParseDuration(line.Fields[ago]); err == nil {
@@ -224,22 +227,22 @@
 	r.lost[name] = since
 }
 
-func (r *Replica) settle(line Line) {
+func (r *Replica) recordSettled(line Line) {
 	r.Settled++
 	if line.Fields["outcome"] == outcomeNotRun {
 		r.Refused++
 	}
 }
 
-// finish works out what only all lines together tell.
+// finish sets the fields that depend on the lines of all replicas, and sorts the replicas.
 func (f *Fleet) finish() {
 	newest := int64(0)
 	for _, replica := range f.Replicas {
 		newest = max(newest, replica.Configuration)
 	}
 	for _, replica := range f.Replicas {
-		replica.Quiet = f.Last.Sub(replica.Last)
-		replica.Behind = newest - replica.Configuration
+		replica.SilentFor = f.Last.Sub(replica.Last)
+		replica.VersionsBehind = newest - replica.Configuration
 		replica.Owned = slices.Sorted(maps.Keys(replica.owned))
 		replica.Gained = slices.Sorted(maps.Keys(replica.gained))
 		replica.Lost = slices.Sorted(maps.Keys(replica.lost))
@@ -251,46 +254,47 @@
 	}
 	slices.SortFunc(f.Replicas, func(a, b *Replica) int {
 		return cmp.Or(
-			cmp.Compare(slices.Index(states, a.State), slices.Index(states, b.State)), cmp.Compare(b.Behind, a.Behind),
+			cmp.Compare(slices.Index(states, a.State), slices.Index(states, b.State)), cmp.Compare(b.VersionsBehind, a.VersionsBehind),
 			compareLosses(a.OldestLoss, b.OldestLoss), strings.Compare(a.Name, b.Name),
 		)
 	})
 }
 
-// compareLosses orders moments of losses, those that are not known last.
+// compareLosses orders times of losses, unknown ones last.
 func compareLosses(a, b time.Time) int {
 	if a.IsZero() != b.IsZero() {
-		return cmp.Compare(unknown(a), unknown(b))
+		return cmp.Compare(unknownLast(a), unknownLast(b))
 	}
 	return a.Compare(b)
 }
 
-func unknown(moment time.Time) int {
+func unknownLast(moment time.Time) int {
 	if moment.IsZero() {
 		return 1
 	}
 	return 0
 }
 
-// configurations tells how many replicas have each configuration, the oldest first.
+// configurations lists how many replicas have each configuration, the oldest version first.
 func (f *Fleet) configurations() string {
 	counts := make(map[int64]int)
 	for _, replica := range f.Replicas {
 		counts[replica.Configuration]++
 	}
-	var told []string
+	var parts []string
 	for _, version := range slices.Sorted(maps.Keys(counts)) {
-		told = append(told, fmt.Sprintf("%d at %d", version, counts[version]))
+		parts = append(parts, fmt.Sprintf("%d at %d", version, counts[version]))
 	}
-	return strings.Join(told, ", ")
+	return strings.Join(parts, ", ")
 }
 
-// rowsMost is how many replicas of one state the table lists: of hundreds that lost the store together a few tell what happened.
-const rowsMost = 20
+// maxRowsPerState limits the replicas of one state in the table: if hundreds lose the store together, a few rows show what
+// happened.
+const maxRowsPerState = 20
 
-// WriteFleet prints how many replicas are in each state and have each configuration, and a line for those that are not plainly serving: they
-// are in another state, own a partition, are behind with the configuration, or have refused requests. Of each state it lists the first
-// rowsMost and counts the others.
+// WriteFleet prints how many replicas are in each state and have each configuration, and a row for each replica that needs attention:
+// it is not serving, owns a partition, has an old configuration or refused requests. It prints the first maxRowsPerState replicas
+// of each state and counts the others.
 func (f *Fleet) WriteFleet(output io.Writer) error {
 	if len(f.Replicas) == 0 {
 		return ErrNoReplicas
@@ -313,31 +317,31 @@
 	fmt.Fprintln(table, "replica\tstate\tfor\tquiet\tstarts\tconfiguration\tsettled\trefused\tlosses\toldest loss\tlost\tgained\towned")
 	listed := make(map[State]int)
 	for _, replica := range f.Replicas {
-		if replica.plain() {
+		if replica.routine() {
 			continue
 		}
 		listed[replica.State]++
-		if listed[replica.State] > rowsMost {
+		if listed[replica.State] > maxRowsPerState {
 			continue
 		}
 		configuration := strconv.FormatInt(replica.Configuration, 10)
-		if replica.Behind > 0 {
-			configuration += fmt.Sprintf(" (%d behind)", replica.Behind)
+		if replica.VersionsBehind > 0 {
+			configuration += fmt.Sprintf(" (%d behind)", replica.VersionsBehind)
 		}
 		oldest := "-"
 		if !replica.OldestLoss.IsZero() {
 			oldest = seconds(f.Last.Sub(replica.OldestLoss)) + " ago"
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\t%d\t%d\t%d\t%s\t%s\t%s\t%s\n", replica.Name, replica.State,
-			seconds(f.Last.Sub(replica.Since)), seconds(replica.Quiet), replica.Starts, configuration, replica.Settled,
+			seconds(f.Last.Sub(replica.Since)), seconds(replica.SilentFor), replica.Starts, configuration, replica.Settled,
 			replica.Refused, replica.Losses, oldest, list(replica.Lost), list(replica.Gained), list(replica.Owned))
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
 	for _, state := range states {
-		if more := listed[state] - rowsMost; more > 0 {
-			if _, err := fmt.Fprintf(output, "and %d more %s\n", more, state); err != nil {
+		if omitted := listed[state] - maxRowsPerState; omitted > 0 {
+			if _, err := fmt.Fprintf(output, "and %d more %s\n", omitted, state); err != nil {
 				return err
 			}
 		}
@@ -345,12 +349,13 @@
 	return nil
 }
 
-// plain tells whether nothing of the replica wants a look.
-func (r *Replica) plain() bool {
-	return r.State == StateServing && len(r.Owned) == 0 && r.Behind == 0 && r.Refused == 0
+// routine reports whether the replica needs no row of its own: it is serving, owns no partition, has the newest configuration and
+// refused no request.
+func (r *Replica) routine() bool {
+	return r.State == StateServing && len(r.Owned) == 0 && r.VersionsBehind == 0 && r.Refused == 0
 }
 
-// list prints names, or a dash for none.
+// list joins names by spaces, or returns a dash if there are none.
 func list(names []string) string {
 	if len(names) == 0 {
 		return "-"
--- a/internal/explain/fleet_test.go
+++ b/internal/explain/fleet_test.go
@@ -11,30 +11,30 @@
 	"github.com/matryer/is"
 )
 
-// TestStatesOfReplicas checks each state of a replica, and what makes and ends it.
+// TestStatesOfReplicas checks the log lines that make a replica enter and leave each state.
 func TestStatesOfReplicas(t *testing.T) {
-	const began = "started; ready configuration=3; "
+	const ready = "started; ready configuration=3; "
 	tests := []struct {
 		name  string
 		lines string
 		want  explain.State
 	}{
 		{"starting", "started", explain.StateStarting},
-		{"ready", began, explain.StateServing},
+		{"ready", ready, explain.StateServing},
 		{"lines from a later hour only", "request settled outcome=answered", explain.StateServing},
-		{"store lost", began + "store partition lost partition=engines/0 confirmed_ago=2s", explain.StateCutOff},
-		{"store regained", began + "store partition lost partition=engines/0 confirmed_ago=2s; store partition regained partition=engines/0",
+		{"store lost", ready + "store partition lost partition=engines/0 confirmed_ago=2s", explain.StateCutOff},
+		{"store regained", ready + "store partition lost partition=engines/0 confirmed_ago=2s; store partition regained partition=engines/0",
 			explain.StateServing},
-		{"another partition regained", began + "store partition lost partition=engines/0 confirmed_ago=2s; " +
+		{"another partition regained", ready + "store partition lost partition=engines/0 confirmed_ago=2s; " +
 			"store partition regained partition=operator/0", explain.StateCutOff},
-		{"group lost", began + "group lost group=jobs heard_ago=1s", explain.StateCutOff},
-		{"group joined", began + "group lost group=jobs heard_ago=1s; group joined group=jobs generation=4", explain.StateServing},
-		{"gained", began + "partition gained partition=jobs/3", explain.StateTakeover},
-		{"gained orders", began + "partition gained partition=weights/3", explain.StateServing},
-		{"taken over", began + "partition gained partition=jobs/3; partition taken over partition=jobs/3", explain.StateServing},
-		{"gained and released", began + "partition gained partition=jobs/3; partition released partition=jobs/3", explain.StateServing},
-		{"stopped", began + "stopping grace=8s; stopped", explain.StateStopped},
-		{"killed with losses and started again", began + "group lost group=jobs heard_ago=1s; started; ready", explain.StateServing},
+		{"group lost", ready + "group lost group=jobs heard_ago=1s", explain.StateCutOff},
+		{"group joined", ready + "group lost group=jobs heard_ago=1s; group joined group=jobs generation=4", explain.StateServing},
+		{"gained", ready + "partition gained partition=jobs/3", explain.StateTakeover},
+		{"gained orders", ready + "partition gained partition=weights/3", explain.StateServing},
+		{"taken over", ready + "partition gained partition=jobs/3; partition taken over partition=jobs/3", explain.StateServing},
+		{"gained and released", ready + "partition gained partition=jobs/3; partition released partition=jobs/3", explain.StateServing},
+		{"stopped", ready + "stopping grace=8s; stopped", explain.StateStopped},
+		{"killed with losses and started again", ready + "group lost group=jobs heard_ago=1s; started; ready", explain.StateServing},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -47,7 +47,8 @@
 	}
 }
 
-// logOf returns the log of a replica: messages with their keys, a second apart, each with the time of the run and the name before it.
+// logOf returns the log of a replica: messages with their keys, one per second, each prefixed with the seconds since the start and the
+// replica's name.
 func logOf(name, messages string) string {
 	var text strings.Builder
 	moment := time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
@@ -59,16 +60,16 @@
 	return text.String()
 }
 
-// TestFleet checks what is told of several replicas, and that those of which nothing is to be told are counted alone.
-func TestFleet(t *testing.T) {
+// TestFleetSummary checks the summary of several replicas, and that replicas that need no attention are counted but not listed.
+func TestFleetSummary(t *testing.T) {
 	is := is.New(t)
-	const began = "started; ready; configuration in force version=7"
+	const ready = "started; ready; configuration in force version=7"
 	input := "a line of another program\n" +
-		logOf("plain", began+"; request settled request=r outcome=answered") +
+		logOf("plain", ready+"; request settled request=r outcome=answered") +
 		logOf("behind", "started; ready; configuration in force version=5") +
-		logOf("refusing", began+"; request settled request=r outcome=not_run") +
-		logOf("owner", began+"; partition gained partition=jobs/3; partition taken over partition=jobs/3") +
-		logOf("cut", began+"; store partition lost partition=engines/0 confirmed_ago=2s; store partition lost partition=weights/1 confirmed_ago=never")
+		logOf("refusing", ready+"; request settled request=r outcome=not_run") +
+		logOf("owner", ready+"; partition gained partition=jobs/3; partition taken over partition=jobs/3") +
+		logOf("cut", ready+"; store partition lost partition=engines/0 confirmed_ago=2s; store partition lost partition=weights/1 confirmed_ago=never")
 	fleet, err := explain.ReadFleet(strings.NewReader(input))
 	is.NoErr(err)
 	is.Equal(len(fleet.Replicas), 5)
@@ -79,8 +80,8 @@
 	is.Equal(cut.Losses, 2)
 	for _, replica := range fleet.Replicas {
 		if replica.Name == "behind" {
-			is.Equal(replica.Behind, int64(2))
-			is.Equal(replica.Quiet, 2*time.Second)
+			is.Equal(replica.VersionsBehind, int64(2))
+			is.Equal(replica.SilentFor, 2*time.Second)
 		}
 	}
 	var output bytes.Buffer
@@ -95,9 +96,9 @@
 	is.Equal((&explain.Fleet{}).WriteFleet(&output), explain.ErrNoReplicas)
 }
 
-// TestALargeFleetIsToldInFewLines has most of a thousand replicas lose the store at different moments, and some be behind with the
-// configuration: the table lists those that need a look first, and counts the others.
-func TestALargeFleetIsToldInFewLines(t *testing.T) {
+// TestTableOfLargeFleetIsShort checks that the table stays short if most of a thousand replicas lose the store at different moments and
+// some have an old configuration: it lists the replicas that most need attention first, and counts the others.
+func TestTableOfLargeFleetIsShort(t *testing.T) {
 	is := is.New(t)
 	const replicas, cut = 985, 600
 	var input strings.Builder
@@ -119,7 +120,8 @@
 	is.True(len(lines) < 40)
 	is.Equal(lines[0], "985 replicas: 600 cut off, 0 in takeover, 0 starting, 385 serving, 0 stopped")
 	is.Equal(lines[1], "configurations: 6 at 9, 7 at 976")
-	// The six that are cut off and behind come first, the one that lost the store first of all at the top; then the others in that order.
+	// The six replicas that are cut off and behind come first, sorted by the age of their loss with the oldest at the top. The other
+	// replicas that are cut off follow in the same order.
 	is.True(strings.HasPrefix(lines[3], "front-599 "))
 	is.True(strings.HasPrefix(lines[8], "front-099 "))
 	is.True(strings.HasPrefix(lines[9], "front-598 "))
--- a/internal/explain/steps.go
+++ b/internal/explain/steps.go
@@ -9,123 +9,126 @@
 	"time"
 )
 
-// Step is one job of a trainer as log lines tell it.
+// Step is one job of a trainer according to the log lines.
 type Step struct {
 	Job string `json:"job"`
-	// Number is the step's number in its model's training, Model the model.
+	// Number is the step's number in the training of Model.
 	Number int64  `json:"step"`
 	Model  string `json:"model"`
-	// Submitted is when the job was acknowledged, Ended when its end was; zero if no line tells.
+	// Submitted is when the job was acknowledged, Ended when its end was acknowledged; zero if no line shows it.
 	Submitted time.Time `json:"submitted"`
 	Ended     time.Time `json:"ended,omitzero"`
-	// Items were handed in, Listed are listed, Wanted is how many whole groups the trainer waits for, 0 if no line tells.
+	// Items is how many items were submitted, Listed how many are listed, Wanted how many complete groups the trainer waits for, 0 if
+	// no line shows it.
 	Items  int `json:"items"`
 	Listed int `json:"listed"`
 	Wanted int `json:"wanted"`
-	// Bound is the least time in which the wanted groups could have been whole, 0 if it can't be told.
-	Bound time.Duration `json:"bound_ns"`
-	// Path is the way of the item that the trainer waited for last, nil if it can't be told.
+	// LowerBound is the minimum time in which the wanted groups could have been complete, 0 if unknown.
+	LowerBound time.Duration `json:"bound_ns"`
+	// Path is the critical path: the history of the item that the trainer waited for last. It is nil if unknown.
 	Path *Path `json:"path,omitempty"`
 
 	items map[string]*item
-	// carried holds the items that an earlier step had: the trainer waits for their groups whatever others are whole.
+	// carried contains the items that an earlier step had too. The trainer waits for their groups regardless of how many others are
+	// complete.
 	carried map[string]bool
 }
 
-// Took is the time from submission to end, 0 if the step has not ended.
-func (s *Step) Took() time.Duration {
+// Duration is the time from submission to end, 0 if the step has not ended.
+func (s *Step) Duration() time.Duration {
 	if s.Ended.IsZero() || s.Submitted.IsZero() {
 		return 0
 	}
 	return s.Ended.Sub(s.Submitted)
 }
 
-// Path divides the time of a step by what the item did that completed the last group the trainer needed.
+// Path splits the time of a step by the activities of the item that completed the last group the trainer needed.
 type Path struct {
 	Item  string `json:"item"`
 	Group string `json:"group"`
-	// Events is how many the item came to.
+	// Events is the item's total number of events.
 	Events int `json:"events"`
-	// Waiting is time without an engine, between the runs as well.
+	// Waiting is time without an engine, including the time between runs.
 	Waiting time.Duration `json:"waiting_ns"`
-	// Working is what the events take at the pace of the quickest engine, Slow what the runs took beyond that.
+	// Working is the time that the events take at the pace of the fastest engine, Slow the time of the runs beyond that.
 	Working time.Duration `json:"working_ns"`
 	Slow    time.Duration `json:"slow_ns"`
-	// Lost is time of runs whose events were made again.
+	// Lost is the time of runs whose events had to be generated again.
 	Lost time.Duration `json:"lost_ns"`
-	// Listing is from the last event to the durable listing, the scorer's call included; Reading from there to the step's end.
+	// Listing is the time from the last event to the durable listing, including the scorer's call. Reading is the time from there to
+	// the step's end.
 	Listing time.Duration `json:"listing_ns"`
 	Reading time.Duration `json:"reading_ns"`
 	Runs    []Run         `json:"runs"`
 }
 
-// Run is one run of an item.
+// Run is one run of an item on an engine.
 type Run struct {
-	Engine string    `json:"engine"`
-	Began  time.Time `json:"began"`
-	// Until is when it ended, or when the item was placed again if no line tells the end: its owner died.
-	Until time.Time `json:"until"`
-	// After counts the events that were there when it began, Kept those when the next run did.
-	After int `json:"after"`
-	Kept  int `json:"kept"`
-	// Orphaned says that no line tells its end though another run followed: its owner died.
+	Engine    string    `json:"engine"`
+	StartedAt time.Time `json:"began"`
+	// EndedAt is when the run ended. If its owner died, so that no line shows the end, it is when the item was placed again.
+	EndedAt time.Time `json:"until"`
+	// ResumeAfter is the number of events that existed when the run started, KeptEvents the number when the next run started.
+	ResumeAfter int `json:"after"`
+	KeptEvents  int `json:"kept"`
+	// Orphaned reports that no line shows the run's end although another run followed, which means that its owner died.
 	Orphaned bool `json:"orphaned"`
 }
 
-// item is one item of a step as lines tell it.
+// item is one item of a step according to the log lines.
 type item struct {
 	id, group string
 	events    int
 	dead      bool
 	listed    time.Time
-	// late is how long before its listing the last event came.
-	late time.Duration
-	runs []Run
+	// listingDelay is the time from the item's last event to its listing.
+	listingDelay time.Duration
+	runs         []Run
 }
 
-// Day is what lines tell of all steps.
-type Day struct {
-	// Steps are in order of their submission.
+// StepReport is the steps found in log lines.
+type StepReport struct {
+	// Steps are sorted by their submission.
 	Steps []*Step `json:"steps"`
-	// Quickest is the time between two events on the quickest engine, 0 if no run tells.
-	Quickest time.Duration `json:"quickest_ns"`
-	// Gaps says what is missing in the lines.
+	// FastestPace is the time per event of the fastest engine, 0 if no run shows it.
+	FastestPace time.Duration `json:"quickest_ns"`
+	// Gaps describes which lines are missing.
 	Gaps []string `json:"gaps,omitempty"`
 }
 
-// stepMessages are the messages that tell of steps.
+// stepMessages are the messages about steps.
 var stepMessages = []string{
 	"job submitted", "job is known already", "job started", "job settled", "job ended", "item placed", "run ended early", "item listed",
 }
 
-// stepKeys are the keys that are read of them.
+// stepKeys are the keys that are read from these messages.
 var stepKeys = []string{
 	"job", "items", "wanted", "step", "model", "item", "group", "engine", "resume_after", "events", "dead", "after_last_event",
 }
 
-// ReadDay reads the steps from log lines. Lines that are no log lines are passed over.
-func ReadDay(input io.Reader) (*Day, error) {
-	reading := dayReader{steps: make(map[string]*Step)}
+// ReadDay reads the steps from log lines. It skips lines that are not log lines.
+func ReadDay(input io.Reader) (*StepReport, error) {
+	reader := stepReader{steps: make(map[string]*Step)}
 	lines, err := readLines(input, stepKeys, func(head lineHead) bool { return slices.Contains(stepMessages, head.Message) })
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	for _, line := range lines {
 		if line.Fields["job"] != "" {
-			reading.take(line)
+			reader.apply(line)
 		}
 	}
-	return reading.day(), err
+	return reader.report(), err
 }
 
-// dayReader gathers steps from lines in order of time.
-type dayReader struct {
+// stepReader collects steps from lines in order of time.
+type stepReader struct {
 	steps map[string]*Step
 }
 
-func (r *dayReader) take(line Line) {
+func (r *stepReader) apply(line Line) {
 	step := r.step(line.Fields["job"])
 	switch line.Message {
 	case "job submitted", "job is known already":
-		r.submitted(step, line)
+		r.recordSubmission(step, line)
 	case "job ended":
 		if step.Ended.IsZero() {
 			step.Ended = line.Time
@@ -133,20 +136,20 @@
 	case "item placed":
 		found := step.item(line.Fields["item"])
 		found.group = line.Fields["group"]
-		found.runs = append(found.runs, Run{Engine: line.Fields["engine"], Began: line.Time, After: number(line, "resume_after")})
+		found.runs = append(found.runs, Run{Engine: line.Fields["engine"], StartedAt: line.Time, ResumeAfter: number(line, "resume_after")})
 	case "run ended early":
 		if runs := step.item(line.Fields["item"]).runs; len(runs) > 0 {
-			runs[len(runs)-1].Until = line.Time
+			runs[len(runs)-1].EndedAt = line.Time
 		}
 	case "item listed":
 		found := step.item(line.Fields["item"])
 		found.listed, found.events, found.group = line.Time, number(line, "events"), line.Fields["group"]
 		found.dead = line.Fields["dead"] == "true"
-		found.late, _ = time.ParseDuration(line.Fields["after_last_event"])
+		found.listingDelay, _ = time.ParseDuration(line.Fields["after_last_event"])
 	}
 }
 
-func (r *dayReader) step(job string) *Step {
+func (r *stepReader) step(job string) *Step {
 	found, ok := r.steps[job]
 	if !ok {
 		found = &Step{Job: job, items: make(map[string]*item)}
@@ -155,7 +158,7 @@
 	return found
 }
 
-func (r *dayReader) submitted(step *Step, line Line) {
+func (r *stepReader) recordSubmission(step *Step, line Line) {
 	if step.Submitted.IsZero() {
 		step.Submitted = line.Time
 	}
@@ -175,42 +178,42 @@
 	return found
 }
 
-// number reads a field that holds a whole number, 0 if there is none.
+// number returns the value of an integer field, 0 if it is missing or invalid.
 func number(line Line, field string) int {
 	value, _ := strconv.Atoi(line.Fields[field])
 	return value
 }
 
-// day works out what the lines tell.
-func (r *dayReader) day() *Day {
-	day := &Day{}
+// report computes the report from the lines that were read.
+func (r *stepReader) report() *StepReport {
+	report := &StepReport{}
 	unsubmitted := 0
 	for _, step := range r.steps {
 		if step.Submitted.IsZero() {
 			unsubmitted++
 			continue
 		}
-		day.Steps = append(day.Steps, step)
+		report.Steps = append(report.Steps, step)
 	}
-	slices.SortFunc(day.Steps, func(a, b *Step) int {
+	slices.SortFunc(report.Steps, func(a, b *Step) int {
 		return cmp.Or(a.Submitted.Compare(b.Submitted), strings.Compare(a.Job, b.Job))
 	})
-	noteCarried(day.Steps)
-	day.Quickest = quickestPace(day.Steps)
-	for _, step := range day.Steps {
-		step.finish()
+	markCarriedItems(report.Steps)
+	report.FastestPace = fastestPace(report.Steps)
+	for _, step := range report.Steps {
+		step.closeRuns()
 	}
-	places := placesSeen(day.Steps)
-	for _, step := range day.Steps {
-		step.Path = criticalPath(step, day.Quickest)
-		step.Bound = bound(step, day.Quickest, places)
+	slots := maxConcurrentRuns(report.Steps)
+	for _, step := range report.Steps {
+		step.Path = criticalPath(step, report.FastestPace)
+		step.LowerBound = lowerBound(step, report.FastestPace, slots)
 	}
-	day.noteGaps(unsubmitted)
-	return day
+	report.addGaps(unsubmitted)
+	return report
 }
 
-// noteCarried tells which items of a step an earlier one had.
-func noteCarried(steps []*Step) {
+// markCarriedItems marks the items of each step that an earlier step had too.
+func markCarriedItems(steps []*Step) {
 	seen := make(map[string]bool)
 	for _, step := range steps {
 		step.carried = make(map[string]bool)
@@ -221,15 +224,15 @@
 	}
 }
 
-// noteGaps says what of the steps no line tells, as in logs of a part of the replicas.
-func (d *Day) noteGaps(unsubmitted int) {
+// addGaps describes the lines that are missing, for example because the logs are those of some of the replicas only.
+func (r *StepReport) addGaps(unsubmitted int) {
 	note := func(count int, text string) {
 		if count > 0 {
-			d.Gaps = append(d.Gaps, strconv.Itoa(count)+" "+text)
+			r.Gaps = append(r.Gaps, strconv.Itoa(count)+" "+text)
 		}
 	}
 	unended, unlisted, unwanted := 0, 0, 0
-	for _, step := range d.Steps {
+	for _, step := range r.Steps {
 		switch {
 		case step.Ended.IsZero():
 			unended++
@@ -245,147 +248,148 @@
 	note(unwanted, "steps don't tell how many groups the trainer waited for: lines of the node that took them are missing")
 }
 
-// finish closes the runs of a step's items and counts the listed ones.
-func (s *Step) finish() {
-	for _, found := range s.items {
-		if !found.listed.IsZero() {
+// closeRuns sets the ends of the runs of the step's items and counts the listed items.
+func (s *Step) closeRuns() {
+	for _, it := range s.items {
+		if !it.listed.IsZero() {
 			s.Listed++
 		}
-		for i := range found.runs {
-			run := &found.runs[i]
-			last := i == len(found.runs)-1
+		for i := range it.runs {
+			run := &it.runs[i]
+			last := i == len(it.runs)-1
 			switch {
-			case last && !found.listed.IsZero():
-				run.Until, run.Kept = found.listed.Add(-found.late), found.events
+			case last && !it.listed.IsZero():
+				run.EndedAt, run.KeptEvents = it.listed.Add(-it.listingDelay), it.events
 			case last:
-				run.Kept = run.After
+				run.KeptEvents = run.ResumeAfter
 			default:
-				run.Kept = found.runs[i+1].After
-				if run.Until.IsZero() {
-					run.Until, run.Orphaned = found.runs[i+1].Began, true
+				run.KeptEvents = it.runs[i+1].ResumeAfter
+				if run.EndedAt.IsZero() {
+					run.EndedAt, run.Orphaned = it.runs[i+1].StartedAt, true
 				}
 			}
 		}
 	}
 }
 
-// paceEvents is how many events a run has at least of which the pace is taken: the reading of the prompt hardly counts then.
-const paceEvents = 30
+// minPaceEvents is the minimum number of events of a run that counts for an engine's pace. With this many, the time for reading the
+// prompt hardly matters.
+const minPaceEvents = 30
 
-// quickestPace returns the median pace of the engine of which it is least.
-func quickestPace(steps []*Step) time.Duration {
+// fastestPace returns the lowest median time per event of any engine.
+func fastestPace(steps []*Step) time.Duration {
 	paces := make(map[string][]time.Duration)
 	for _, step := range steps {
-		for _, found := range step.items {
-			if found.listed.IsZero() || len(found.runs) == 0 {
+		for _, it := range step.items {
+			if it.listed.IsZero() || len(it.runs) == 0 {
 				continue
 			}
-			run := found.runs[len(found.runs)-1]
-			if events := found.events - run.After; events >= paceEvents {
-				took := found.listed.Add(-found.late).Sub(run.Began)
-				paces[run.Engine] = append(paces[run.Engine], took/time.Duration(events))
+			run := it.runs[len(it.runs)-1]
+			if events := it.events - run.ResumeAfter; events >= minPaceEvents {
+				elapsed := it.listed.Add(-it.listingDelay).Sub(run.StartedAt)
+				paces[run.Engine] = append(paces[run.Engine], elapsed/time.Duration(events))
 			}
 		}
 	}
-	var quickest time.Duration
+	var fastest time.Duration
 	for _, measured := range paces {
 		slices.Sort(measured)
-		if median := measured[(len(measured)-1)/2]; quickest == 0 || median < quickest {
-			quickest = median
+		if median := measured[(len(measured)-1)/2]; fastest == 0 || median < fastest {
+			fastest = median
 		}
 	}
-	return quickest
+	return fastest
 }
 
 // group is the items of one group of a step.
 type group struct {
 	name string
-	// carried says that an item of it was in an earlier step, whole that all of its items are listed.
-	carried bool
-	whole   bool
-	// done is when its last item was listed, last that item.
-	done time.Time
-	last *item
-	// longest is the events of its longest item, work those of all.
-	longest int
-	work    int
+	// carried means that an earlier step had an item of the group too, complete that all of its items are listed.
+	carried  bool
+	complete bool
+	// completedAt is when the last item was listed, lastItem that item.
+	completedAt time.Time
+	lastItem    *item
+	// maxEvents is the number of events of the longest item, totalEvents that of all items.
+	maxEvents   int
+	totalEvents int
 }
 
-// needed returns the groups that a trainer waits for, given all in the order that suits it best: those that were carried over,
-// and of the others the first ones. It returns nil if there are not as many as it wants.
-func needed(groups []*group, wanted int) []*group {
+// requiredGroups returns the groups that a trainer waits for: all that were carried over from an earlier step, and the first of the
+// others in the given order, up to the wanted number. It returns nil if there are fewer groups than wanted.
+func requiredGroups(groups []*group, wanted int) []*group {
 	if wanted == 0 || len(groups) < wanted {
 		return nil
 	}
 	var chosen, others []*group
-	for _, known := range groups {
-		if known.carried {
-			chosen = append(chosen, known)
+	for _, g := range groups {
+		if g.carried {
+			chosen = append(chosen, g)
 		} else {
-			others = append(others, known)
+			others = append(others, g)
 		}
 	}
 	return append(chosen, others[:min(len(others), max(0, wanted-len(chosen)))]...)
 }
 
-// groups returns a step's whole groups in the order in which they were listed.
-func (s *Step) groups() []*group {
+// completeGroups returns the step's complete groups in the order in which they were completed.
+func (s *Step) completeGroups() []*group {
 	byName := make(map[string]*group)
-	for _, found := range s.items {
-		known, ok := byName[found.group]
+	for _, it := range s.items {
+		g, ok := byName[it.group]
 		if !ok {
-			known = &group{name: found.group, whole: true}
-			byName[found.group] = known
+			g = &group{name: it.group, complete: true}
+			byName[it.group] = g
 		}
-		known.whole = known.whole && !found.listed.IsZero()
-		known.carried = known.carried || s.carried[found.id]
-		known.longest = max(known.longest, found.events)
-		known.work += found.events
-		if found.listed.After(known.done) {
-			known.done, known.last = found.listed, found
+		g.complete = g.complete && !it.listed.IsZero()
+		g.carried = g.carried || s.carried[it.id]
+		g.maxEvents = max(g.maxEvents, it.events)
+		g.totalEvents += it.events
+		if it.listed.After(g.completedAt) {
+			g.completedAt, g.lastItem = it.listed, it
 		}
 	}
 	ordered := make([]*group, 0, len(byName))
-	for _, known := range byName {
-		if known.whole {
-			ordered = append(ordered, known)
+	for _, g := range byName {
+		if g.complete {
+			ordered = append(ordered, g)
 		}
 	}
 	slices.SortFunc(ordered, func(a, b *group) int {
-		return cmp.Or(a.done.Compare(b.done), strings.Compare(a.name, b.name))
+		return cmp.Or(a.completedAt.Compare(b.completedAt), strings.Compare(a.name, b.name))
 	})
 	return ordered
 }
 
-// criticalPath follows the item that completed the last group the trainer needed.
-func criticalPath(step *Step, quickest time.Duration) *Path {
-	waited := needed(step.groups(), step.Wanted)
-	if step.Took() == 0 || len(waited) == 0 || quickest == 0 {
+// criticalPath returns the path of the item that completed the last group the trainer needed.
+func criticalPath(step *Step, fastest time.Duration) *Path {
+	required := requiredGroups(step.completeGroups(), step.Wanted)
+	if step.Duration() == 0 || len(required) == 0 || fastest == 0 {
 		return nil
 	}
-	critical := slices.MaxFunc(waited, func(a, b *group) int { return a.done.Compare(b.done) })
-	path := &Path{Item: critical.last.id, Group: critical.name, Events: critical.last.events, Runs: critical.last.runs}
+	critical := slices.MaxFunc(required, func(a, b *group) int { return a.completedAt.Compare(b.completedAt) })
+	path := &Path{Item: critical.lastItem.id, Group: critical.name, Events: critical.lastItem.events, Runs: critical.lastItem.runs}
 	at := step.Submitted
-	for _, run := range critical.last.runs {
-		path.Waiting += max(0, run.Began.Sub(at))
-		path.account(run, quickest)
-		at = run.Until
+	for _, run := range critical.lastItem.runs {
+		path.Waiting += max(0, run.StartedAt.Sub(at))
+		path.addRun(run, fastest)
+		at = run.EndedAt
 	}
-	path.Listing = critical.last.late
-	path.Reading = max(0, step.Ended.Sub(critical.last.listed))
+	path.Listing = critical.lastItem.listingDelay
+	path.Reading = max(0, step.Ended.Sub(critical.lastItem.listed))
 	return path
 }
 
-// account divides the time of one run.
-func (p *Path) account(run Run, quickest time.Duration) {
-	took := run.Until.Sub(run.Began)
-	useful := min(took, time.Duration(run.Kept-run.After)*quickest)
+// addRun adds the time of one run to the parts of the path.
+func (p *Path) addRun(run Run, fastest time.Duration) {
+	elapsed := run.EndedAt.Sub(run.StartedAt)
+	useful := min(elapsed, time.Duration(run.KeptEvents-run.ResumeAfter)*fastest)
 	p.Working += useful
-	if run.Orphaned || run.Kept == run.After {
-		// Its owner died, or it brought nothing that was kept. A run at an engine of less than half the quickest pace is slow, however
-		// much of its time that takes.
-		p.Lost += took - useful
+	if run.Orphaned || run.KeptEvents == run.ResumeAfter {
+		// The owner died, or no event of the run was kept. A run on an engine that is slower than half the fastest pace counts as slow,
+		// no matter how much of its time that is.
+		p.Lost += elapsed - useful
 		return
 	}
-	p.Slow += took - useful
+	p.Slow += elapsed - useful
 }
--- a/internal/explain/table.go
+++ b/internal/explain/table.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// ErrNoSteps says that log lines tell of no step.
+// ErrNoSteps reports that the log lines contain no step.
 var ErrNoSteps = errors.New("no line tells of a job that was submitted")
 
-// ErrNoStep says that log lines tell of no step of a name.
+// ErrNoStep reports that the log lines contain no step of this job.
 var ErrNoStep = errors.New("no line tells of this job's submission")
 
-// Step returns the step of a job.
-func (d *Day) Step(job string) (*Step, error) {
-	for _, step := range d.Steps {
+// Step returns the step of a job. The error is ErrNoStep if there is none.
+func (r *StepReport) Step(job string) (*Step, error) {
+	for _, step := range r.Steps {
 		if step.Job == job {
 			return step, nil
 		}
@@ -27,19 +27,19 @@
 	return nil, fmt.Errorf("%w: %s", ErrNoStep, job)
 }
 
-// WriteSteps prints a line a step, the means of each model if there are several, and those of the day.
-func (d *Day) WriteSteps(output io.Writer) error {
-	if len(d.Steps) == 0 {
+// WriteSteps prints a row per step, the means of each model if there are several, and the means of all steps.
+func (r *StepReport) WriteSteps(output io.Writer) error {
+	if len(r.Steps) == 0 {
 		return ErrNoSteps
 	}
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "job\tmodel\tstep\tsubmitted\ttook\tbound\twaiting\tworking\tslow\tlost\tlisting\treading\tevents\truns\t")
-	began := d.Steps[0].Submitted
+	start := r.Steps[0].Submitted
 	var all total
 	models := make(map[string]*total)
-	for _, step := range d.Steps {
-		fmt.Fprintf(table, "%s\t%s\t%d\t%+.2f\t%s\t%s\t", step.Job, step.Model, step.Number, step.Submitted.Sub(began).Seconds(),
-			seconds(step.Took()), seconds(step.Bound))
+	for _, step := range r.Steps {
+		fmt.Fprintf(table, "%s\t%s\t%d\t%+.2f\t%s\t%s\t", step.Job, step.Model, step.Number, step.Submitted.Sub(start).Seconds(),
+			seconds(step.Duration()), seconds(step.LowerBound))
 		path := step.Path
 		if path == nil {
 			fmt.Fprintln(table, strings.Repeat("-\t", 8))
@@ -61,61 +61,61 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	return d.writeGaps(output)
+	return r.writeGaps(output)
 }
 
-// total sums up steps whose paths can be told. The zero value holds none.
+// total sums up steps whose critical path is known. The zero value is an empty sum.
 type total struct {
-	steps       int
-	took, bound time.Duration
-	path        Path
+	steps           int
+	duration, bound time.Duration
+	path            Path
 }
 
 func (t *total) add(step *Step) {
 	t.steps++
-	t.took += step.Took()
-	t.bound += step.Bound
+	t.duration += step.Duration()
+	t.bound += step.LowerBound
 	t.path.add(step.Path)
 }
 
-// write prints the means under the columns of steps.
+// write prints the means in the columns of the steps.
 func (t *total) write(table io.Writer, model string) {
 	if t.steps == 0 {
 		return
 	}
 	count := time.Duration(t.steps)
-	fmt.Fprintf(table, "mean of %d\t%s\t\t\t%s\t%s\t%s\t\t\n", t.steps, model, seconds(t.took/count), seconds(t.bound/count),
+	fmt.Fprintf(table, "mean of %d\t%s\t\t\t%s\t%s\t%s\t\t\n", t.steps, model, seconds(t.duration/count), seconds(t.bound/count),
 		t.path.over(t.steps).columns())
 }
 
 // WritePath prints the critical path of a step.
-func (d *Day) WritePath(output io.Writer, step *Step) error {
+func (r *StepReport) WritePath(output io.Writer, step *Step) error {
 	var text strings.Builder
-	fmt.Fprintf(&text, "job %s, step %d of %s: took %s, bound %s\n", step.Job, step.Number, step.Model, seconds(step.Took()), seconds(step.Bound))
+	fmt.Fprintf(&text, "job %s, step %d of %s: took %s, bound %s\n", step.Job, step.Number, step.Model, seconds(step.Duration()), seconds(step.LowerBound))
 	if step.Path == nil {
 		fmt.Fprintf(&text, "%d of %d items are listed; its critical path can't be told\n", step.Listed, step.Items)
 		if _, err := io.WriteString(output, text.String()); err != nil {
 			return err
 		}
-		return d.writeGaps(output)
+		return r.writeGaps(output)
 	}
 	path := step.Path
 	fmt.Fprintf(&text, "held to its end by item %s of group %s, %d events\n", path.Item, path.Group, path.Events)
 	for _, run := range path.Runs {
-		fmt.Fprintf(&text, "  %+9.3fs on %s for %s, from event %d on, %d kept\n", run.Began.Sub(step.Submitted).Seconds(), run.Engine,
-			seconds(run.Until.Sub(run.Began)), run.After+1, run.Kept)
+		fmt.Fprintf(&text, "  %+9.3fs on %s for %s, from event %d on, %d kept\n", run.StartedAt.Sub(step.Submitted).Seconds(), run.Engine,
+			seconds(run.EndedAt.Sub(run.StartedAt)), run.ResumeAfter+1, run.KeptEvents)
 	}
 	for _, part := range path.parts() {
-		fmt.Fprintf(&text, "%8s  %s\n", seconds(part.took), part.text)
+		fmt.Fprintf(&text, "%8s  %s\n", seconds(part.duration), part.text)
 	}
 	if _, err := io.WriteString(output, text.String()); err != nil {
 		return err
 	}
-	return d.writeGaps(output)
+	return r.writeGaps(output)
 }
 
-func (d *Day) writeGaps(output io.Writer) error {
-	for _, gap := range d.Gaps {
+func (r *StepReport) writeGaps(output io.Writer) error {
+	for _, gap := range r.Gaps {
 		if _, err := fmt.Fprintln(output, "missing:", gap); err != nil {
 			return err
 		}
@@ -125,8 +125,8 @@
 
 // part is one part of a path's time.
 type part struct {
-	took time.Duration
-	text string
+	duration time.Duration
+	text     string
 }
 
 func (p *Path) parts() []part {
@@ -140,11 +140,11 @@
 	}
 }
 
-// columns are the parts as cells of a table.
+// columns returns the parts as table cells.
 func (p *Path) columns() string {
 	var text strings.Builder
 	for _, part := range p.parts() {
-		text.WriteString(seconds(part.took) + "\t")
+		text.WriteString(seconds(part.duration) + "\t")
 	}
 	return text.String()
 }
@@ -165,10 +165,10 @@
 	}
 }
 
-// seconds prints a duration as a table does; one of no length stands for what can't be told or did not take any time.
-func seconds(took time.Duration) string {
-	if took == 0 {
+// seconds formats a duration for a table; a dash means unknown or zero.
+func seconds(d time.Duration) string {
+	if d == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.2f", took.Seconds())
+	return fmt.Sprintf("%.2f", d.Seconds())
 }
