--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -51,7 +51,7 @@
 }
 
 func (a *application) explainSteps() error {
-	day, err := explain.ReadDay(a.streams.In)
+	day, err := explain.ReadSteps(a.streams.In)
 	if err != nil {
 		return usageError("the lines can't be read: %v", err)
 	}
@@ -79,7 +79,7 @@
 }
 
 func (a *application) explainStep(job string) error {
-	day, err := explain.ReadDay(a.streams.In)
+	day, err := explain.ReadSteps(a.streams.In)
 	if err != nil {
 		return usageError("the lines can't be read: %v", err)
 	}
--- a/internal/explain/steps.go
+++ b/internal/explain/steps.go
@@ -106,8 +106,8 @@
 	"job", "items", "wanted", "step", "model", "item", "group", "engine", "resume_after", "events", "dead", "after_last_event",
 }
 
-// ReadDay reads the steps from log lines. It skips lines that are not log lines.
-func ReadDay(input io.Reader) (*StepReport, error) {
+// ReadSteps reads the steps from log lines. It skips lines that are not log lines.
+func ReadSteps(input io.Reader) (*StepReport, error) {
 	reader := stepReader{steps: make(map[string]*Step)}
 	lines, err := readLines(input, stepKeys, func(head lineHead) bool { return slices.Contains(stepMessages, head.Message) })
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
--- a/internal/explain/steps_test.go
+++ b/internal/explain/steps_test.go
@@ -33,7 +33,7 @@
 
 func readReport(t *testing.T, lines []string) *explain.StepReport {
 	t.Helper()
-	report, err := explain.ReadDay(strings.NewReader(strings.Join(lines, "\n")))
+	report, err := explain.ReadSteps(strings.NewReader(strings.Join(lines, "\n")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -233,7 +233,7 @@
 	} {
 		is := is.New(t)
 		input := line + "\n" + `{"time":"` + moment + `","level":"info","msg":"a \"quoted\" word","job":"j1"}` + "\n"
-		report, err := explain.ReadDay(strings.NewReader(input))
+		report, err := explain.ReadSteps(strings.NewReader(input))
 		is.NoErr(err)
 		is.Equal(len(report.Steps), 1)
 		is.Equal(report.Steps[0].Number, int64(4))
