--- a/internal/bundle/bench_test.go
+++ b/internal/bundle/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// largeBundle has the size of a deployment with two partners and 24 workloads.
+// largeBundle returns a bundle of the size of a deployment with two partners and 24 workloads.
 func largeBundle(version uint64) *Bundle {
 	b := testBundle(version, 0.01, "ann", "bob")
 	for i := range 23 {
@@ -18,7 +18,7 @@
 	return b
 }
 
-// BenchmarkAcceptance folds the proposal and the two sign-offs of one change.
+// BenchmarkAcceptance measures folding the proposal and the two sign-offs of one change.
 func BenchmarkAcceptance(b *testing.B) {
 	var records [][]byte
 	for version := range uint64(50) {
--- a/internal/bundle/canonical.go
+++ b/internal/bundle/canonical.go
@@ -10,27 +10,27 @@
 	"github.com/samber/oops"
 )
 
-// ErrNotCanonical says that a document is a bundle, but not in its canonical form.
+// ErrNotCanonical is returned for a document that is not a bundle in canonical form.
 var ErrNotCanonical = errors.New("bundle is not in canonical form")
 
-// Canonical encodes a valid bundle as JSON, always the same way: keys in the order of the schema, no white space,
-// durations in their shortest whole unit, keys at their zero value left out where the schema allows it.
+// Canonical encodes a valid bundle as deterministic JSON: keys in schema order, no white space, durations as a whole
+// number of their largest fitting unit, and zero values omitted where the schema allows it.
 func Canonical(b *Bundle) []byte {
 	encoded, err := json.Marshal(b)
 	if err != nil {
-		panic("a bundle holds a value that JSON cannot: " + err.Error())
+		panic("bundle contains a value that JSON cannot represent: " + err.Error())
 	}
 	return encoded
 }
 
-// Digest is the hex SHA-256 of a canonical form.
+// Digest returns the hex SHA-256 of a canonical form.
 func Digest(canonical []byte) string {
 	sum := sha256.Sum256(canonical)
 	return hex.EncodeToString(sum[:])
 }
 
-// DecodeCanonical is the strict inverse of Canonical: it refuses every other encoding of the same bundle, and so also
-// unknown, repeated and missing keys. It costs far less than Decode, but names no lines.
+// DecodeCanonical is the strict inverse of Canonical. It rejects every other encoding of the same bundle, and therefore
+// also unknown, repeated and missing keys. It is much cheaper than Decode, but its errors have no line numbers.
 func DecodeCanonical(canonical []byte) (*Bundle, error) {
 	if len(canonical) > MaxDocumentBytes {
 		return nil, oops.Wrapf(ErrNotCanonical, "it has %d bytes", len(canonical))
--- a/internal/bundle/confirm.go
+++ b/internal/bundle/confirm.go
@@ -10,22 +10,22 @@
 
 // confirmation lets concurrent calls of Confirm share one read.
 type confirmation struct {
-	// running is the round of reads going on, nil if none. It is guarded by the follower's lock.
+	// running is the current round of reads, nil if there is none. It is guarded by Follower.mu.
 	running *confirmRound
 }
 
-// confirmRound is one read of the stream to its tail.
+// confirmRound is one pass of reads up to the tail of the stream. The call that started it, the leader, does the reads.
 type confirmRound struct {
 	done chan struct{}
-	// err is set before done is closed; abandoned says that the leader's context ended, so that err tells nothing about
-	// the log.
+	// err and abandoned are set before done is closed. abandoned reports whether the leader's context ended; err then
+	// does not describe the state of the log.
 	err       error
 	abandoned bool
 }
 
-// Confirm reads the bundle stream to its tail as of a moment after the call began, folds it, and returns the bundle in
-// force then; nil if there is none. Calls that wait at the same time share one read, which began after all of them. In
-// the normal case it costs one read that does not wait.
+// Confirm reads and folds the bundle stream up to a tail that is no older than the call, and returns the bundle that is
+// then in force, nil if there is none. Concurrent calls share one read that started after all of them. The normal cost
+// is one read that does not wait.
 func (f *Follower) Confirm(ctx context.Context) (*Accepted, error) {
 	if f.config.Mutations.Has(mutation.NoBundleConfirmation) {
 		return f.Current(), nil
@@ -38,8 +38,8 @@
 
 // catchUp folds everything that was in the stream when it was called.
 func (f *Follower) catchUp(ctx context.Context) error {
-	// A round that is already running when the call begins may have read too early to count.
-	counts := false
+	// A round that was already running when the call started may have read a tail older than the call.
+	startedAfterCall := false
 	for {
 		round, lead := f.joinRound()
 		if lead {
@@ -51,14 +51,14 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if counts && !round.abandoned {
+		if startedAfterCall && !round.abandoned {
 			return round.err
 		}
-		counts = true
+		startedAfterCall = true
 	}
 }
 
-// joinRound returns the round that runs, or starts one that the caller must lead.
+// joinRound returns the running round, or starts one that the caller must lead.
 func (f *Follower) joinRound() (round *confirmRound, lead bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,6 +69,7 @@
 	return f.confirmation.running, true
 }
 
+// lead does the reads of a round and publishes the result to the calls that wait for it.
 func (f *Follower) lead(ctx context.Context, round *confirmRound) {
 	round.err = f.readToTail(ctx)
 	round.abandoned = ctx.Err() != nil
@@ -78,25 +79,25 @@
 	close(round.done)
 }
 
-// readToTail reads and folds until the tail that its first read saw.
+// readToTail reads and folds up to the tail that its first read returned.
 func (f *Follower) readToTail(ctx context.Context) error {
-	if err := f.start(ctx); err != nil {
+	if err := f.loadSnapshot(ctx); err != nil {
 		return err
 	}
-	before := f.reached()
-	tail, err := f.advance(ctx, 0)
-	for err == nil && f.reached() < tail {
-		if f.reached() == before {
+	before := f.nextOffset()
+	tail, err := f.readOnce(ctx, 0)
+	for err == nil && f.nextOffset() < tail {
+		if f.nextOffset() == before {
 			return oops.With("offset", before, "tail", tail).Errorf("log returned no entry below its tail")
 		}
-		before = f.reached()
-		_, err = f.advance(ctx, 0)
+		before = f.nextOffset()
+		_, err = f.readOnce(ctx, 0)
 	}
 	return err
 }
 
-// reached is the offset below which everything is folded.
-func (f *Follower) reached() int64 {
+// nextOffset returns the offset below which all records are folded.
+func (f *Follower) nextOffset() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.next
--- a/internal/bundle/decode.go
+++ b/internal/bundle/decode.go
@@ -15,7 +15,7 @@
 	"gopkg.in/yaml.v3"
 )
 
-// MaxDocumentBytes bounds a bundle document.
+// MaxDocumentBytes limits the size of a bundle document.
 const MaxDocumentBytes = 256 << 10
 
 var (
@@ -23,8 +23,8 @@
 	syntaxErrorAt = regexp.MustCompile(`^yaml: line (\d+): (.*)$`)
 )
 
-// Decode reads a bundle from YAML or JSON. It refuses unknown and repeated keys, missing required keys, wrong types,
-// and everything that Validate refuses. The error is an *Invalid that holds every fault with its line.
+// Decode reads a bundle from YAML or JSON. It rejects unknown and repeated keys, missing required keys, wrong types,
+// and everything that Validate rejects. The error is an *Invalid that lists every problem with its line.
 func Decode(document []byte) (*Bundle, error) {
 	found := &problems{lines: map[string]int{"": 1}}
 	root := parse(document, found)
@@ -45,7 +45,7 @@
 	return decoded, nil
 }
 
-// setDefaults fills keys that may be left out, so that the canonical form holds what is in force.
+// setDefaults fills in optional keys, so that the canonical form contains the effective values.
 func setDefaults(b *Bundle) {
 	for i := range b.Workloads {
 		workload := &b.Workloads[i]
@@ -55,13 +55,13 @@
 	}
 }
 
-// parse returns the root of the only document, or nil with the fault recorded.
+// parse returns the root node of the single document, or nil after recording the problem.
 func parse(document []byte, found *problems) *yaml.Node {
 	if len(document) > MaxDocumentBytes {
 		found.add("", "document has %d bytes; at most %d are allowed", len(document), MaxDocumentBytes)
 		return nil
 	}
-	reader := yaml.NewDecoder(bytes.NewReader(yamlOf(document)))
+	reader := yaml.NewDecoder(bytes.NewReader(jsonToYAML(document)))
 	var root, rest yaml.Node
 	if err := reader.Decode(&root); err != nil {
 		found.addSyntaxError(err)
@@ -81,8 +81,9 @@
 	return root.Content[0]
 }
 
-// yamlOf makes JSON acceptable as YAML, which refuses tabs as white space.
-func yamlOf(document []byte) []byte {
+// jsonToYAML replaces the tabs of a JSON document by spaces, because YAML rejects tabs as white space. Other documents
+// are returned unchanged.
+func jsonToYAML(document []byte) []byte {
 	if !json.Valid(document) {
 		return document
 	}
@@ -103,7 +104,7 @@
 	p.addAt(line, "", "%s", match[2])
 }
 
-// decoder fills Go values from YAML nodes and records every fault on the way.
+// decoder fills Go values from YAML nodes and records every problem that it finds.
 type decoder struct {
 	*problems
 }
@@ -220,7 +221,7 @@
 	target.SetInt(int64(parsed))
 }
 
-// describe names what a node holds, for messages.
+// describe returns a description of a node's content for messages.
 func describe(node *yaml.Node) string {
 	switch node.Kind {
 	case yaml.MappingNode:
@@ -246,7 +247,7 @@
 	return fields
 }
 
-// fieldName returns the key of a field and whether it is required: it is unless its tag says omitempty.
+// fieldName returns the key of a field and whether the key is required, which it is unless the tag has omitempty.
 func fieldName(field reflect.StructField) (name string, required bool) {
 	name, options, _ := strings.Cut(field.Tag.Get("yaml"), ",")
 	return name, !strings.Contains(options, "omitempty")
--- a/internal/bundle/decode_test.go
+++ b/internal/bundle/decode_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// validDocument has its key replaced before use.
+// validDocument is a document that Decode accepts; KEY is replaced by a public key.
 var validDocument = strings.ReplaceAll(`version: 2
 base: 1
 partners:
--- a/internal/bundle/duration.go
+++ b/internal/bundle/duration.go
@@ -8,7 +8,7 @@
 	"github.com/samber/oops"
 )
 
-// durationUnits are the units of the written form, largest first.
+// durationUnits lists the units of the text form, largest first.
 var durationUnits = []struct {
 	length time.Duration
 	suffix string
@@ -24,7 +24,8 @@
 	return time.Duration(d)
 }
 
-// String writes the duration as a whole number of the largest unit up to seconds that divides it, such as "90s".
+// String formats the duration as a whole number of the largest unit, seconds or smaller, that divides it, such as
+// "90s".
 func (d Duration) String() string {
 	for _, unit := range durationUnits {
 		if time.Duration(d)%unit.length == 0 {
@@ -34,7 +35,7 @@
 	return time.Duration(d).String()
 }
 
-// ParseDuration reads a number with a unit, such as "90s", "5m" or "1h30m".
+// ParseDuration parses a number with a unit, such as "90s", "5m" or "1h30m".
 func ParseDuration(text string) (Duration, error) {
 	parsed, err := time.ParseDuration(text)
 	if err != nil {
@@ -43,12 +44,12 @@
 	return Duration(parsed), nil
 }
 
-// MarshalJSON writes the duration as a string.
+// MarshalJSON encodes the duration as a string.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(d.String())
 }
 
-// UnmarshalJSON reads the duration from a string.
+// UnmarshalJSON decodes the duration from a string.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
@@ -57,12 +58,12 @@
 	return d.UnmarshalText([]byte(text))
 }
 
-// MarshalYAML writes the duration as a string.
+// MarshalYAML encodes the duration as a string.
 func (d Duration) MarshalYAML() (any, error) {
 	return d.String(), nil
 }
 
-// UnmarshalText reads the duration from text.
+// UnmarshalText decodes the duration from text.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := ParseDuration(string(text))
 	if err != nil {
--- a/internal/bundle/fold.go
+++ b/internal/bundle/fold.go
@@ -4,27 +4,28 @@
 	"fmt"
 )
 
-// Bounds of what a Fold keeps.
+// Limits on the proposals that a Fold keeps.
 const (
-	// MaxEndedProposals is how many proposals are kept after they ended.
+	// MaxEndedProposals limits the ended proposals that are kept.
 	MaxEndedProposals = 256
-	// MaxEndedDocuments is how many of those are kept with their documents.
+	// MaxEndedDocuments limits the ended proposals that are kept with their documents.
 	MaxEndedDocuments = 64
-	// MaxEndedDocumentBytes bounds the sum of those documents.
+	// MaxEndedDocumentBytes limits the total size of those documents.
 	MaxEndedDocumentBytes = 1 << 20
-	// MaxOpenProposals is how many proposals wait for sign-offs at once; the oldest with the fewest signatures gives way.
+	// MaxOpenProposals limits the proposals that wait for sign-offs. Beyond it, the one with the fewest signatures is
+	// ended, the oldest of several.
 	MaxOpenProposals = 64
 )
 
-// Fold is the state that the records of the bundle stream add up to. It depends on nothing but the records, their
-// offsets and the keys it starts with, so every node that has read as far holds the same. It is not safe for
-// concurrent use.
+// Fold is the state that results from applying the records of the bundle stream in order. It depends only on the
+// records, their offsets and the initial trusted keys, so all nodes that have read up to the same offset have the same
+// state. It is not safe for concurrent use.
 //
-// A proposal is accepted at the offset where every required partner has signed and its base is still the version in
-// force. The version in force rises by one at each acceptance and never falls.
+// A proposal is accepted at the offset where every required partner has signed it and its base is still the version in
+// force. The version in force increases by one with each acceptance and never decreases.
 type Fold struct {
 	trusted TrustedKeys
-	// proposals by digest; order lists them by offset.
+	// proposals maps digests to proposals; order lists the digests by offset.
 	proposals map[string]*proposalState
 	order     []string
 	inForce   *Accepted
@@ -32,36 +33,37 @@
 	skipped   uint64
 }
 
-// NewFold starts with no bundle in force; trusted holds who signs the first.
+// NewFold returns a Fold without a bundle in force. trusted maps the partners that must sign the first bundle to their
+// keys.
 func NewFold(trusted TrustedKeys) *Fold {
 	return &Fold{trusted: trusted, proposals: map[string]*proposalState{}}
 }
 
-// Apply folds the payload at an offset. Offsets must be given once each and in order. Payloads that cannot be decoded
-// are counted and change nothing.
+// Apply folds the payload at an offset. Each offset must be applied once and in order. Payloads that cannot be decoded
+// are counted and change nothing else.
 func (f *Fold) Apply(offset int64, payload []byte) []Event {
 	if len(payload) > maxRecordBytes {
-		return f.garbage(offset, "record is too large")
+		return f.skipUndecodable(offset, "record is too large")
 	}
 	record, err := decodeEnvelope(payload)
 	if err != nil {
-		return f.garbage(offset, err.Error())
+		return f.skipUndecodable(offset, err.Error())
 	}
 	switch record.Kind {
 	case kindProposal:
 		var proposal Proposal
 		if rest, err := proposal.UnmarshalMsg(record.Body); err != nil || len(rest) != 0 {
-			return f.garbage(offset, "proposal cannot be decoded")
+			return f.skipUndecodable(offset, "proposal cannot be decoded")
 		}
 		return f.applyProposal(offset, proposal)
 	case kindSignOff:
 		var signOff SignOff
 		if rest, err := signOff.UnmarshalMsg(record.Body); err != nil || len(rest) != 0 {
-			return f.garbage(offset, "sign-off cannot be decoded")
+			return f.skipUndecodable(offset, "sign-off cannot be decoded")
 		}
 		return f.applySignOff(offset, signOff)
 	default:
-		return f.garbage(offset, fmt.Sprintf("record is of unknown kind %d", record.Kind))
+		return f.skipUndecodable(offset, fmt.Sprintf("record is of unknown kind %d", record.Kind))
 	}
 }
 
@@ -78,12 +80,12 @@
 	return f.inForce.Bundle.Version
 }
 
-// Skipped counts the payloads that could not be decoded.
+// Skipped returns the number of payloads that could not be decoded.
 func (f *Fold) Skipped() uint64 {
 	return f.skipped
 }
 
-// Status tells how a proposal stands; false where it is not known (any more).
+// Status returns the status of a proposal, and false if the proposal is unknown or no longer kept.
 func (f *Fold) Status(digest string) (Status, bool) {
 	proposal, found := f.proposals[digest]
 	if !found {
@@ -92,7 +94,7 @@
 	return proposal.status(), true
 }
 
-func (f *Fold) garbage(offset int64, reason string) []Event {
+func (f *Fold) skipUndecodable(offset int64, reason string) []Event {
 	f.skipped++
 	return skip(offset, reason)
 }
@@ -101,7 +103,7 @@
 	return []Event{{Kind: EventSkipped, Offset: offset, Reason: reason}}
 }
 
-// keysInForce are the keys that sign for the partners now.
+// keysInForce returns the partners' keys of the bundle in force, or the trusted keys before the first bundle.
 func (f *Fold) keysInForce() TrustedKeys {
 	if f.inForce == nil {
 		return f.trusted
@@ -112,11 +114,11 @@
 func (f *Fold) applyProposal(offset int64, record Proposal) []Event {
 	decoded, err := DecodeCanonical(record.Canonical)
 	if err != nil {
-		return f.garbage(offset, err.Error())
+		return f.skipUndecodable(offset, err.Error())
 	}
 	digest := Digest(record.Canonical)
-	known := f.proposals[digest]
-	if known != nil && (known.State != StateConflicted || known.Base != f.Version()) {
+	existing := f.proposals[digest]
+	if existing != nil && (existing.State != StateConflicted || existing.Base != f.Version()) {
 		return skip(offset, "proposal is a repeat")
 	}
 	proposal := &proposalState{
@@ -134,7 +136,7 @@
 	}
 	proposal.Missing = partnersOf(requiredKeys(f.keysInForce(), keysOf(decoded)))
 	events := []Event{{Kind: EventProposed, Offset: offset, Status: proposal.status()}}
-	return append(events, f.boundOpen(offset)...)
+	return append(events, f.limitOpen(offset)...)
 }
 
 func (f *Fold) applySignOff(offset int64, record SignOff) []Event {
@@ -146,13 +148,13 @@
 		return skip(offset, "sign-off is of a proposal that has ended")
 	case proposal.Version != record.Version || proposal.Base != record.Base:
 		return skip(offset, "sign-off is of another version or base")
-	case !proposal.misses(record.Partner):
+	case !proposal.isMissing(record.Partner):
 		return skip(offset, "sign-off of this partner is not missing")
 	}
-	if !f.signatureCounts(proposal, record) {
+	if !f.signatureValid(proposal, record) {
 		return skip(offset, "signature does not verify")
 	}
-	proposal.sign(record.Partner, record.Signature)
+	proposal.addSignature(record.Partner, record.Signature)
 	events := []Event{{Kind: EventSigned, Offset: offset, Status: proposal.status()}}
 	if len(proposal.Missing) > 0 {
 		return events
@@ -160,7 +162,7 @@
 	return append(events, f.accept(proposal, offset)...)
 }
 
-func (f *Fold) signatureCounts(proposal *proposalState, record SignOff) bool {
+func (f *Fold) signatureValid(proposal *proposalState, record SignOff) bool {
 	required, err := f.requiredFor(proposal)
 	if err != nil {
 		return false
@@ -168,7 +170,7 @@
 	return verifyAny(required[record.Partner], record.Digest, record.Version, record.Base, record.Signature)
 }
 
-// requiredFor returns who must sign an open proposal, with the keys that count.
+// requiredFor returns the partners that must sign an open proposal, each with the keys that are valid for it.
 func (f *Fold) requiredFor(proposal *proposalState) (TrustedKeys, error) {
 	decoded, err := DecodeCanonical(proposal.Canonical)
 	if err != nil {
@@ -177,7 +179,8 @@
 	return requiredKeys(f.keysInForce(), keysOf(decoded)), nil
 }
 
-// accept puts a proposal in force and ends all others, whose base is the version that it supersedes.
+// accept puts a proposal in force and ends all other open proposals, because their base is the version that it
+// supersedes.
 func (f *Fold) accept(proposal *proposalState, offset int64) []Event {
 	decoded, err := DecodeCanonical(proposal.Canonical)
 	if err != nil {
@@ -202,7 +205,7 @@
 			events = append(events, f.conflict(other, offset, reason))
 		}
 	}
-	f.boundEnded()
+	f.limitEnded()
 	return events
 }
 
@@ -218,6 +221,6 @@
 	proposal.Missing = nil
 	proposal.Reason = reason
 	event := Event{Kind: EventConflicted, Offset: offset, Status: proposal.status()}
-	f.boundEnded()
+	f.limitEnded()
 	return event
 }
--- a/internal/bundle/fold_test.go
+++ b/internal/bundle/fold_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// withKey gives a partner another key.
+// withKey replaces the keys of a partner by the test key of the given name.
 func withKey(b *Bundle, partner, key string) *Bundle {
 	for i := range b.Partners {
 		if b.Partners[i].Name == partner {
@@ -21,7 +21,9 @@
 	return b
 }
 
-func TestFoldDecidesWhoMustSign(t *testing.T) {
+// The partners in force must sign with their keys in force, also when the proposal removes them or rotates their keys.
+// Partners that the proposal adds must sign with their keys in the proposal.
+func TestFoldRequiresCurrentAndAddedPartners(t *testing.T) {
 	first := testBundle(1, 0.1, "ann", "bob")
 	start := acceptRecords(first, "ann", "bob")
 	added := testBundle(2, 0.2, "ann", "bob", "eve")
@@ -62,7 +64,7 @@
 	}
 }
 
-func TestFirstBundleNeedsTheKeysOfTheSettings(t *testing.T) {
+func TestFirstBundleRequiresTrustedKeys(t *testing.T) {
 	is := is.New(t)
 	for _, trusted := range []TrustedKeys{nil, testTrusted("ann", "bob")} {
 		fold := NewFold(trusted)
@@ -83,20 +85,20 @@
 		is.Equal(status.State, StateConflicted)
 		is.True(status.Reason != "")
 	}
-	next = apply(fold, next, acceptRecords(early, "ann", "bob")...) // its base is in force now
+	next = apply(fold, next, acceptRecords(early, "ann", "bob")...) // its base is now in force
 	is.Equal(fold.Current().Digest, digestOf(early))
-	apply(fold, next, acceptRecords(fast, "ann", "bob")...) // old news
+	apply(fold, next, acceptRecords(fast, "ann", "bob")...) // was already in force
 	is.Equal(fold.Version(), uint64(2))
 	status, _ := fold.Status(digestOf(fast))
 	is.Equal(status.State, StateSuperseded)
 	stale := testBundle(1, 0.4, "ann", "bob")
 	apply(fold, next, acceptRecords(stale, "ann", "bob")...)
-	is.Equal(fold.Current().Digest, digestOf(early)) // whole, but on a base of the past
+	is.Equal(fold.Current().Digest, digestOf(early)) // has all signatures, but a base that is no longer in force
 	status, _ = fold.Status(digestOf(stale))
 	is.Equal(status.State, StateConflicted)
 }
 
-func TestFoldIsBounded(t *testing.T) {
+func TestFoldLimitsKeptProposals(t *testing.T) {
 	is := is.New(t)
 	fold := NewFold(testTrusted("ann"))
 	next := int64(0)
@@ -108,7 +110,7 @@
 	is.Equal(len(fold.proposals), MaxEndedProposals+MaxOpenProposals)
 	is.Equal(len(fold.order), len(fold.proposals))
 	apply(fold, next, signOffRecord(signed, "bob", "bob"))
-	is.Equal(fold.Current().Digest, digestOf(signed)) // a signed one did not give way to unsigned ones
+	is.Equal(fold.Current().Digest, digestOf(signed)) // a signed proposal is not evicted before unsigned ones
 	is.Equal(len(fold.proposals), MaxEndedProposals+1)
 	documents := 0
 	for _, proposal := range fold.proposals {
@@ -119,8 +121,8 @@
 	is.Equal(documents, MaxEndedDocuments+1)
 }
 
-// drawRecords makes records of some bundle on a version near the one in force, honest or not: one of them, or all that
-// would bring it into force.
+// drawRecords returns records of a bundle with a version near the one in force: the proposal, a single sign-off that
+// may be invalid, or all records that are needed to accept it.
 func drawRecords(t *rapid.T, version uint64) [][]byte {
 	partners := rapid.SampledFrom([][]string{{"ann"}, {"ann", "bob"}, {"ann", "bob", "eve"}}).Draw(t, "partners")
 	target := max(1, version+rapid.Uint64Range(0, 2).Draw(t, "version"))
@@ -140,7 +142,7 @@
 	}
 }
 
-// encoded is the state of a fold without what depends on offsets and garbage.
+// encoded returns the encoded state of a fold, without the offsets and the count of skipped records.
 func encoded(t *rapid.T, fold *Fold) []byte {
 	copied := *fold
 	copied.skipped = 0
@@ -157,6 +159,7 @@
 	return payload
 }
 
+// Garbage, repeated records and restarts from a snapshot must not change the state of a fold.
 func TestFoldProperties(t *testing.T) {
 	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -186,11 +189,11 @@
 		}
 	})
 	if accepted == 0 {
-		t.Fatal("no bundle was accepted; the property examined nothing")
+		t.Fatal("no bundle was accepted; the property was not exercised")
 	}
 }
 
-// checkStep checks what must hold after every record.
+// checkStep checks the invariants of a fold after each record.
 func checkStep(t *rapid.T, fold *Fold, before uint64) {
 	if fold.Version() < before || fold.Version() > before+1 {
 		t.Fatalf("version went from %d to %d", before, fold.Version())
@@ -206,6 +209,7 @@
 	}
 }
 
+// restart returns a fold that is restored from a snapshot of the given one.
 func restart(t *rapid.T, fold *Fold, trusted TrustedKeys, next int64) *Fold {
 	payload, err := fold.snapshot(next)
 	if err != nil {
@@ -218,7 +222,7 @@
 	return restored
 }
 
-func TestLinksAreKeptWhereKeysChange(t *testing.T) {
+func TestFoldKeepsLinkForEachKeyChange(t *testing.T) {
 	is := is.New(t)
 	fold := NewFold(testTrusted("ann"))
 	next := int64(0)
@@ -237,13 +241,13 @@
 	is.NoErr(err)
 	late := TrustedKeys{"ann": {testPublic("key 1")}}
 	accepted, err := verifyChain(late, 0, chainOf(fold.links, fold.Current()))
-	is.NoErr(err) // settings that name later keys prove the end of the chain
+	is.NoErr(err) // later trusted keys verify the rest of the chain
 	is.Equal(accepted.Bundle.Version, uint64(6))
 	_, err = verifyChain(testTrusted("eve"), 0, chainOf(fold.links, fold.Current()))
 	is.True(errors.Is(err, ErrUnproven))
 }
 
-func TestChainsThatDoNotRiseProveNothing(t *testing.T) {
+func TestVerifyChainRequiresIncreasingVersions(t *testing.T) {
 	is := is.New(t)
 	var links []linkState
 	fold := NewFold(testTrusted("ann"))
@@ -254,10 +258,11 @@
 	_, err := verifyChain(testTrusted("ann"), 0, []linkState{links[1], links[0]})
 	is.True(errors.Is(err, ErrUnproven))
 	_, err = verifyChain(testTrusted("ann"), 2, links)
-	is.True(errors.Is(err, ErrUnproven)) // nothing of it is newer
+	is.True(errors.Is(err, ErrUnproven)) // no bundle of the chain is newer
 }
 
-func TestSnapshotsAreNotTrusted(t *testing.T) {
+// Snapshots are not signed. A snapshot with forged or inconsistent content must be rejected.
+func TestOpenSnapshotRejectsInvalidContent(t *testing.T) {
 	first, open := testBundle(1, 0.1, "ann", "bob"), testBundle(2, 0.2, "ann", "bob")
 	fold := NewFold(testTrusted("ann", "bob"))
 	next := apply(fold, 0, acceptRecords(first, "ann", "bob")...)
@@ -266,7 +271,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*snapshotState){
+	for name, corrupt := range map[string]func(*snapshotState){
 		"forged signature":      func(s *snapshotState) { s.Proposals[1].Signatures[0].Signature = signOff(open, "ann", "eve").Signature },
 		"signature of another":  func(s *snapshotState) { s.Proposals[1].Signatures[0].Partner = "bob" },
 		"bundle without proof":  func(s *snapshotState) { s.Links[0].Signatures = s.Links[0].Signatures[:1] },
@@ -281,7 +286,7 @@
 			is := is.New(t)
 			state, err := decodeSnapshot(payload)
 			is.NoErr(err)
-			spoil(state)
+			corrupt(state)
 			_, _, err = openSnapshot(testTrusted("ann", "bob"), mustRecord(kindSnapshot, state), next)
 			is.True(err != nil)
 		})
--- a/internal/bundle/follower.go
+++ b/internal/bundle/follower.go
@@ -19,61 +19,63 @@
 )
 
 const (
-	// pollWait is how long one read may wait for the next record.
+	// pollWait is the maximum time that one read waits for the next record.
 	pollWait = 20 * time.Second
-	// minPoll is the least time between two reads that bring nothing.
-	minPoll = 200 * time.Millisecond
-	// readBatch bounds the entries of one read.
+	// minPollInterval is the minimum time between two reads that return no entries.
+	minPollInterval = 200 * time.Millisecond
+	// readBatch limits the entries of one read.
 	readBatch = 256
-	// readTimeout bounds a read that does not wait; a long poll gets pollWait more.
+	// readTimeout is the timeout of a read that does not wait; a long poll adds its wait to it.
 	readTimeout = 5 * time.Second
-	// retryFirst and retryMost bound the pauses between reads of a log that fails.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 5 * time.Second
+	// minRetryDelay and maxRetryDelay are the initial and the maximum backoff interval after a failed read.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
 )
 
-// FollowerConfig sets a Follower up.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
 	Log platform.Log
-	// Trusted holds who signs the first bundle.
+	// Trusted maps the partners that must sign the first bundle to their keys.
 	Trusted TrustedKeys
 	// Logger may be nil.
 	Logger *log.Logger
-	// OnAccepted, if set, is called with each bundle that comes into force here, in order of version, not concurrently.
-	// It must not block and must not call the Follower.
+	// OnAccepted, if set, is called with each bundle that comes into force on this node, in order of version and never
+	// concurrently. It must not block and must not call the Follower.
 	OnAccepted func(*Accepted)
-	// Mutations switches mechanisms off; only tests set it.
+	// Mutations disables mechanisms; only tests set it.
 	Mutations mutation.Set
 }
 
-// Follower knows the bundle in force on this node. It folds the bundle stream and, while the log is unreachable, takes
-// newer bundles from peers, whose signatures prove them. What it holds in force never falls to an earlier version: it
-// is the newer of what the fold says and what was learned. Peers hand out only what their fold accepted, so the fold
-// reaches every learned bundle as soon as the log is back; should it find another one at the same version, a peer has
-// lied, and the log's is put in force and the fault logged.
+// Follower tracks the bundle in force on this node. It folds the bundle stream and, while the log is unreachable,
+// accepts newer bundles from peers if their signatures prove them. The bundle in force is the newer one of the folded
+// and the learned bundle; its version never decreases. Peers serve only bundles that their fold accepted, so the fold
+// reaches every learned bundle once the log is reachable again. If the fold accepts a different bundle of the same
+// version, the peer served a bundle that the log did not accept: the bundle of the log is put in force and an error is
+// logged.
 //
-// All methods are safe for concurrent use. The lock is never held across input or output, nor while OnAccepted runs.
+// All methods are safe for concurrent use. mu is not held during I/O, nor while OnAccepted runs.
 type Follower struct {
 	config FollowerConfig
 	logger *log.Logger
 
 	mu sync.Mutex
-	// fold holds the records below next; started says that the newest snapshot has been looked for.
+	// fold is the state of all records below next; started is set once the newest snapshot has been searched for.
 	fold    *Fold
 	next    int64
 	started bool
-	// learned is a bundle from a peer that the fold has not reached, with its chain; nil most of the time.
+	// learned is a bundle from a peer that the fold has not reached yet, with its chain; usually nil.
 	learned      *Accepted
 	learnedChain []linkState
 	current      *Accepted
 	changed      chan struct{}
-	// caughtUp is when the last read that reached the tail was answered.
-	caughtUp time.Time
-	// snapshotted is the offset of the newest snapshot known; snapshotDue is when to write another, zero if not.
-	snapshotted int64
-	snapshotDue time.Time
+	// caughtUpAt is the time of the response to the last read that reached the tail.
+	caughtUpAt time.Time
+	// snapshotOffset is the offset of the newest known snapshot; snapshotDue is the time to write the next one, zero if
+	// none is scheduled.
+	snapshotOffset int64
+	snapshotDue    time.Time
 
-	// notifyMu orders the calls of OnAccepted; it is taken before mu and never inside it.
+	// notifyMu serializes the calls of OnAccepted. It is acquired before mu, never while mu is held.
 	notifyMu sync.Mutex
 	notified *Accepted
 
@@ -83,20 +85,20 @@
 	readBytes atomic.Uint64
 }
 
-// FollowerStats counts the work of a Follower.
+// FollowerStats contains counters of a Follower.
 type FollowerStats struct {
-	// Reads counts the calls of the log, ReadBytes the payload bytes that they returned.
+	// Reads counts the read calls to the log, ReadBytes the payload bytes that they returned.
 	Reads     uint64
 	ReadBytes uint64
 	// Skipped counts the records that could not be decoded.
 	Skipped uint64
-	// NextOffset is the offset up to which the stream is folded.
+	// NextOffset is the offset below which the stream is folded.
 	NextOffset int64
 	// Version is the version in force, 0 before the first.
 	Version uint64
 }
 
-// NewFollower makes a Follower; Run makes it follow.
+// NewFollower returns a Follower; Run starts to follow the stream.
 func NewFollower(config FollowerConfig) *Follower {
 	logger := cmp.Or(config.Logger, log.New(io.Discard))
 	return &Follower{
@@ -107,13 +109,13 @@
 	}
 }
 
-// Run follows the stream until ctx ends, and returns its error.
+// Run follows the stream until ctx ends, and returns the error of ctx.
 func (f *Follower) Run(ctx context.Context) error {
 	retry := &backoff.ExponentialBackOff{
-		InitialInterval:     retryFirst,
+		InitialInterval:     minRetryDelay,
 		RandomizationFactor: backoff.DefaultRandomizationFactor,
 		Multiplier:          backoff.DefaultMultiplier,
-		MaxInterval:         retryMost,
+		MaxInterval:         maxRetryDelay,
 	}
 	for ctx.Err() == nil {
 		err := f.poll(ctx)
@@ -131,24 +133,24 @@
 	return oops.Wrap(ctx.Err())
 }
 
-// poll waits for the next records and folds them. It takes at least minPoll when none came, also with a log that does
-// not hold reads open.
+// poll waits for the next records and folds them. A call without new records lasts at least minPollInterval, even if
+// the log does not wait with its response.
 func (f *Follower) poll(ctx context.Context) error {
-	if err := f.start(ctx); err != nil {
+	if err := f.loadSnapshot(ctx); err != nil {
 		return err
 	}
-	before, began := f.reached(), time.Now()
-	if _, err := f.advance(ctx, f.pollTime()); err != nil {
+	before, startedAt := f.nextOffset(), time.Now()
+	if _, err := f.readOnce(ctx, f.pollTimeout()); err != nil {
 		return err
 	}
-	if f.reached() == before {
-		pause.For(ctx, minPoll-time.Since(began))
+	if f.nextOffset() == before {
+		pause.For(ctx, minPollInterval-time.Since(startedAt))
 	}
 	return nil
 }
 
-// advance reads once from the place reached, folds what it gets, and returns the tail that the read saw.
-func (f *Follower) advance(ctx context.Context, wait time.Duration) (int64, error) {
+// readOnce reads once from the next offset, folds the entries, and returns the tail that the read reported.
+func (f *Follower) readOnce(ctx context.Context, wait time.Duration) (int64, error) {
 	f.mu.Lock()
 	from := f.next
 	f.mu.Unlock()
@@ -156,29 +158,29 @@
 	if err != nil {
 		return 0, err
 	}
-	f.absorb(result.Entries)
-	f.noteTail(result.Tail)
+	f.foldEntries(result.Entries)
+	f.recordCaughtUp(result.Tail)
 	return result.Tail, nil
 }
 
-// noteTail notes the time when everything below the tail that a read saw is folded.
-func (f *Follower) noteTail(tail int64) {
+// recordCaughtUp sets caughtUpAt if everything below the tail is folded.
+func (f *Follower) recordCaughtUp(tail int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.next >= tail {
-		f.caughtUp = time.Now()
+		f.caughtUpAt = time.Now()
 	}
 }
 
-// CaughtUpAt is when the last read that reached the tail of the stream was answered; zero before the first. A poll waits
-// up to pollWait for news, so this may be as long ago while all is well.
+// CaughtUpAt returns the time of the response to the last read that reached the tail of the stream, zero before the
+// first. A poll waits up to pollWait for new records, so this time may be that old in normal operation.
 func (f *Follower) CaughtUpAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.caughtUp
+	return f.caughtUpAt
 }
 
-// read calls the log with a deadline and counts the traffic.
+// read calls the log with a timeout and counts calls and bytes.
 func (f *Follower) read(ctx context.Context, stream string, offset int64, options platform.ReadOptions) (platform.ReadResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout+options.Wait)
 	defer cancel()
@@ -193,8 +195,8 @@
 	return result, nil
 }
 
-// absorb folds entries that have not been folded yet. Several reads may bring the same ones.
-func (f *Follower) absorb(entries []platform.Entry) {
+// foldEntries folds the entries that have not been folded yet. Concurrent reads may return the same entries.
+func (f *Follower) foldEntries(entries []platform.Entry) {
 	var events []Event
 	f.mu.Lock()
 	for _, entry := range entries {
@@ -204,14 +206,15 @@
 		events = append(events, f.fold.Apply(entry.Offset, entry.Payload)...)
 		f.next++
 	}
-	f.refresh()
+	f.updateCurrent()
 	f.mu.Unlock()
-	f.report(events)
+	f.logEvents(events)
 	f.notify()
 }
 
-// refresh sets the bundle in force from the fold and what was learned. It is called with the lock held.
-func (f *Follower) refresh() {
+// updateCurrent sets the bundle in force to the newer one of the folded and the learned bundle. The caller must hold
+// mu.
+func (f *Follower) updateCurrent() {
 	folded := f.fold.Current()
 	if f.learned != nil && f.fold.Version() >= f.learned.Bundle.Version {
 		f.checkLearned(folded)
@@ -232,7 +235,7 @@
 	f.changed = make(chan struct{})
 }
 
-// replaces tells whether a bundle takes the place of the one in force: never an earlier version.
+// replaces reports whether a bundle replaces the one in force, which an earlier version never does.
 func (f *Follower) replaces(newest *Accepted) bool {
 	if f.current == nil || f.config.Mutations.Has(mutation.BundleReverts) {
 		return true
@@ -240,7 +243,7 @@
 	return newest.Digest != f.current.Digest && newest.Bundle.Version >= f.current.Bundle.Version
 }
 
-// checkLearned logs when the log knows another bundle under the version that a peer proved.
+// checkLearned logs an error if the log accepted a different bundle than the peer proved for the same version.
 func (f *Follower) checkLearned(folded *Accepted) {
 	if folded.Bundle.Version == f.learned.Bundle.Version && folded.Digest != f.learned.Digest {
 		f.logger.Error("a peer handed out a bundle that the log did not accept", "version", folded.Bundle.Version,
@@ -248,7 +251,8 @@
 	}
 }
 
-// notify calls OnAccepted once for each new version in force, in order.
+// notify calls OnAccepted with the bundle in force unless it was already called with it. Versions are reported in
+// order.
 func (f *Follower) notify() {
 	if f.config.OnAccepted == nil {
 		return
@@ -263,7 +267,7 @@
 	f.config.OnAccepted(current)
 }
 
-func (f *Follower) report(events []Event) {
+func (f *Follower) logEvents(events []Event) {
 	for _, event := range events {
 		switch event.Kind {
 		case EventSkipped:
@@ -277,14 +281,14 @@
 	}
 }
 
-// Current returns the bundle in force here, nil before the first. It must not be changed.
+// Current returns the bundle in force on this node, nil before the first. The caller must not modify it.
 func (f *Follower) Current() *Accepted {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current
 }
 
-// Changed returns a channel that is closed when the bundle in force changes. Take it before Current, so that no change
+// Changed returns a channel that is closed when the bundle in force changes. Call it before Current, so that no change
 // is missed.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
@@ -292,7 +296,7 @@
 	return f.changed
 }
 
-// Stats counts what was done so far.
+// Stats returns the current counters.
 func (f *Follower) Stats() FollowerStats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -308,9 +312,9 @@
 	return stats
 }
 
-// Learn takes over a bundle from a peer if it is newer than the one in force and proven by its signatures: every
-// bundle of the proof must be signed by every partner under keys known before it. ErrUnproven says that it is not.
-// A proof of a bundle that is not newer changes nothing and is no error.
+// Learn adopts a bundle from a peer if it is newer than the one in force and proven by its signatures: every bundle of
+// the proof must be signed by every required partner with keys that were known before it. Otherwise Learn returns
+// ErrUnproven. A bundle that is not newer changes nothing and is not an error.
 func (f *Follower) Learn(proof peerapi.BundleProof) error {
 	if f.config.Mutations.Has(mutation.IgnoreLearned) {
 		return nil
@@ -338,7 +342,8 @@
 	return nil
 }
 
-// adopt puts a proven bundle in force, unless a bundle as new has come into force meanwhile.
+// adopt puts a proven bundle in force and returns true, unless an equal or newer version came into force in the
+// meantime.
 func (f *Follower) adopt(accepted *Accepted, chain []linkState) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -346,11 +351,11 @@
 		return false
 	}
 	f.learned, f.learnedChain = accepted, chain
-	f.refresh()
+	f.updateCurrent()
 	return true
 }
 
-// knownKeys returns the keys in force here and the version they belong to.
+// knownKeys returns the keys in force on this node and the version that they belong to.
 func (f *Follower) knownKeys() (TrustedKeys, uint64) {
 	current := f.Current()
 	if current == nil {
@@ -359,7 +364,7 @@
 	return keysOf(&current.Bundle), current.Bundle.Version
 }
 
-// Proof returns the bundle in force with what proves it to peers; false before the first.
+// Proof returns the bundle in force with the chain that proves it to peers, and false before the first.
 func (f *Follower) Proof() (peerapi.BundleProof, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/bundle/follower_test.go
+++ b/internal/bundle/follower_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// put proposes a bundle and signs it off for partners whose keys bear their names.
-func put(t *testing.T, follower *Follower, b *Bundle, partners ...string) {
+// proposeAndSign proposes a bundle and signs it for partners whose test keys have the partner's name.
+func proposeAndSign(t *testing.T, follower *Follower, b *Bundle, partners ...string) {
 	t.Helper()
 	is := is.New(t)
 	_, err := follower.Propose(t.Context(), Canonical(b))
@@ -38,7 +38,7 @@
 		is.NoErr(err)
 		is.Equal(status.Missing, []string{"bob"})
 		synctest.Wait()
-		is.True(reader.Current() == nil) // half signed is not in force
+		is.True(reader.Current() == nil) // not in force while a signature is missing
 
 		status, err = writer.SignOff(t.Context(), signOff(first, "bob", "bob"))
 		is.NoErr(err)
@@ -48,7 +48,8 @@
 	})
 }
 
-func TestLostAnswersAreSettledByReading(t *testing.T) {
+// An append whose response is lost may or may not have taken effect. The caller must read the stream to determine it.
+func TestLostAppendResponseIsResolvedByReading(t *testing.T) {
 	faults := map[string]func(n int) (bool, error){
 		"after effect":  func(n int) (bool, error) { return true, lostIf(n == 1) },
 		"before effect": func(n int) (bool, error) { return n != 1, lostIf(n == 1) },
@@ -81,7 +82,8 @@
 	return nil
 }
 
-func TestUnreachableLogIsNotGuessedAbout(t *testing.T) {
+// A call must return ErrUnavailable only if nothing was sent, and ErrUncertain if the record may have been written.
+func TestUnreachableLogIsUnavailableOrUncertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := newMemoryLog()
@@ -99,49 +101,49 @@
 		log.appendFault = func(int) (bool, error) { return false, nil }
 		log.appends = 0
 		_, err = follower.Propose(t.Context(), Canonical(testBundle(1, 0.5, "ann")))
-		is.True(errors.Is(err, ErrUncertain)) // an acknowledged record that the stream never shows
+		is.True(errors.Is(err, ErrUncertain)) // the append is acknowledged but the record never appears in the stream
 		is.True(log.appends < 30)
 	})
 }
 
-func TestOperatorsAreToldWhyNot(t *testing.T) {
+func TestRejectedCallsReturnTheirCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := newMemoryLog()
 		follower := follow(t, log, testTrusted("ann", "bob"))
-		won, lost := testBundle(1, 0.5, "ann", "bob"), testBundle(1, 0.6, "ann", "bob")
-		for _, b := range []*Bundle{won, lost} {
+		winner, loser := testBundle(1, 0.5, "ann", "bob"), testBundle(1, 0.6, "ann", "bob")
+		for _, b := range []*Bundle{winner, loser} {
 			_, err := follower.Propose(t.Context(), Canonical(b))
 			is.NoErr(err)
 		}
-		_, err := follower.SignOff(t.Context(), signOff(won, "ann", "bob"))
+		_, err := follower.SignOff(t.Context(), signOff(winner, "ann", "bob"))
 		is.True(errors.Is(err, ErrUnknownKey)) // another partner's key
-		_, err = follower.SignOff(t.Context(), signOff(won, "ann", "eve"))
+		_, err = follower.SignOff(t.Context(), signOff(winner, "ann", "eve"))
 		is.True(errors.Is(err, ErrBadSignature))
-		_, err = follower.SignOff(t.Context(), signOff(won, "eve", "eve"))
+		_, err = follower.SignOff(t.Context(), signOff(winner, "eve", "eve"))
 		is.True(errors.Is(err, ErrUnknownKey))
 		_, err = follower.SignOff(t.Context(), signOff(testBundle(1, 0.7, "ann", "bob"), "ann", "ann"))
 		is.True(errors.Is(err, ErrUnknownProposal))
 
-		put(t, follower, won, "ann", "bob")
+		proposeAndSign(t, follower, winner, "ann", "bob")
 		var conflict *ConflictError
-		_, err = follower.SignOff(t.Context(), signOff(lost, "ann", "ann"))
+		_, err = follower.SignOff(t.Context(), signOff(loser, "ann", "ann"))
 		is.True(errors.As(err, &conflict) && errors.Is(err, ErrConflict))
-		is.Equal(conflict.Digest, digestOf(won)) // tells which one won
-		_, err = follower.Propose(t.Context(), Canonical(lost))
+		is.Equal(conflict.Digest, digestOf(winner)) // names the accepted bundle
+		_, err = follower.Propose(t.Context(), Canonical(loser))
 		is.True(errors.Is(err, ErrConflict))
-		is.Equal(len(log.streams[Stream]), 4) // what was refused was not written
+		is.Equal(len(log.streams[Stream]), 4) // rejected calls wrote nothing
 		page, token, err := follower.List(Page{Size: 1})
 		is.NoErr(err)
 		is.Equal(page[0].State, StateConflicted)
 		page, token, err = follower.List(Page{Size: 1, Token: token})
 		is.NoErr(err)
-		is.Equal(page[0].Digest, digestOf(won))
+		is.Equal(page[0].Digest, digestOf(winner))
 		is.Equal(token, "")
 	})
 }
 
-func TestConfirmSharesReadsBegunAfterTheCall(t *testing.T) {
+func TestConfirmSharesReadsStartedAfterCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := newMemoryLog()
@@ -157,7 +159,7 @@
 			confirmed <- accepted
 		}
 		go confirm()
-		synctest.Wait() // the first call holds its read
+		synctest.Wait() // the read of the first call is blocked
 		for range 10 {
 			go confirm()
 		}
@@ -177,11 +179,12 @@
 	})
 }
 
-func TestConfirmOutlivesALeaderThatGivesUp(t *testing.T) {
+// A call that waits for a shared read must start its own when the context of the leader is canceled.
+func TestConfirmSurvivesCanceledLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := newMemoryLog()
-		follower := NewFollower(FollowerConfig{Log: &stuckLog{memoryLog: log, stuck: 1}, Trusted: testTrusted("ann")})
+		follower := NewFollower(FollowerConfig{Log: &blockingLog{memoryLog: log, blockedReads: 1}, Trusted: testTrusted("ann")})
 		leader, cancel := context.WithCancel(t.Context())
 		results := make(chan error, 2)
 		go func() {
@@ -200,80 +203,82 @@
 	})
 }
 
-// stuckLog holds its first reads until their contexts end.
-type stuckLog struct {
+// blockingLog blocks its first reads until their contexts end.
+type blockingLog struct {
 	*memoryLog
-	stuck int
+	blockedReads int
 }
 
-func (l *stuckLog) Read(ctx context.Context, stream string, offset int64, options platform.ReadOptions) (platform.ReadResult, error) {
-	if l.stuck > 0 {
-		l.stuck--
+func (l *blockingLog) Read(ctx context.Context, stream string, offset int64, options platform.ReadOptions) (platform.ReadResult, error) {
+	if l.blockedReads > 0 {
+		l.blockedReads--
 		<-ctx.Done()
 		return platform.ReadResult{}, ctx.Err()
 	}
 	return l.memoryLog.Read(ctx, stream, offset, options)
 }
 
-func TestLearnFromAPeerWhileTheLogIsDown(t *testing.T) {
+func TestLearnFromPeerWithoutLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		log, cut := newMemoryLog(), newMemoryLog()
+		log, lagging := newMemoryLog(), newMemoryLog()
 		ahead := follow(t, log, testTrusted("ann"))
-		put(t, ahead, testBundle(1, 0.1, "ann"), "ann")
+		proposeAndSign(t, ahead, testBundle(1, 0.1, "ann"), "ann")
 		rotated := testBundle(2, 0.2, "ann")
 		rotated.Partners[0].Keys = []string{FormatPublicKey(testPublic("new key"))}
-		put(t, ahead, rotated, "ann")
+		proposeAndSign(t, ahead, rotated, "ann")
 		third := testBundle(3, 0.3, "ann")
 		third.Partners[0].Keys = rotated.Partners[0].Keys
 		_, err := ahead.Propose(t.Context(), Canonical(third))
 		is.NoErr(err)
 		_, err = ahead.SignOff(t.Context(), signOff(third, "ann", "ann"))
-		is.True(errors.Is(err, ErrUnknownKey)) // the key was rotated away
+		is.True(errors.Is(err, ErrUnknownKey)) // the key was replaced
 		_, err = ahead.SignOff(t.Context(), signOff(third, "ann", "new key"))
 		is.NoErr(err)
 		proof, _ := ahead.Proof()
 
 		var versions []uint64
 		onAccepted := func(accepted *Accepted) { versions = append(versions, accepted.Bundle.Version) }
-		behind := NewFollower(FollowerConfig{Log: cut, Trusted: testTrusted("ann"), OnAccepted: onAccepted})
-		is.NoErr(behind.Learn(proof)) // across the rotation, from the keys of the settings
+		behind := NewFollower(FollowerConfig{Log: lagging, Trusted: testTrusted("ann"), OnAccepted: onAccepted})
+		is.NoErr(behind.Learn(proof)) // the chain leads from the trusted keys across the rotation
 		is.Equal(behind.Current().Bundle.Version, uint64(3))
-		handed, _ := behind.Proof()
-		is.Equal(handed, proof)
+		relayed, _ := behind.Proof()
+		is.Equal(relayed, proof)
 		status, err := behind.Status(digestOf(third))
 		is.NoErr(err)
-		is.Equal(status.State, StateInForce) // though the fold does not know it
+		is.Equal(status.State, StateInForce) // although the fold has not reached it
 
 		forged := proof
 		forged.Links = nil
-		other := NewFollower(FollowerConfig{Log: cut, Trusted: testTrusted("ann")})
-		is.True(errors.Is(other.Learn(forged), ErrUnproven)) // without the link nothing proves the new key
+		other := NewFollower(FollowerConfig{Log: lagging, Trusted: testTrusted("ann")})
+		is.True(errors.Is(other.Learn(forged), ErrUnproven)) // the new key is not proven without the link
 		is.True(other.Current() == nil)
 
-		cut.streams[Stream] = log.streams[Stream][:2]
+		lagging.streams[Stream] = log.streams[Stream][:2]
 		_, err = behind.Confirm(t.Context())
 		is.NoErr(err)
-		is.Equal(behind.Current().Bundle.Version, uint64(3)) // the log's older version does not come back
+		is.Equal(behind.Current().Bundle.Version, uint64(3)) // the older version of the log is not put in force again
 		status, err = behind.Status(digestOf(testBundle(1, 0.1, "ann")))
 		is.NoErr(err)
 		is.Equal(status.State, StateSuperseded)
-		cut.streams[Stream] = log.streams[Stream]
+		lagging.streams[Stream] = log.streams[Stream]
 		_, err = behind.Confirm(t.Context())
 		is.NoErr(err)
 		is.Equal(versions, []uint64{3})
 	})
 }
 
-func TestSnapshotsBoundWhatANewNodeReads(t *testing.T) {
+// A new node starts from the newest valid snapshot instead of reading the whole stream, and skips invalid and forged
+// snapshots.
+func TestSnapshotsLimitReadsOfNewNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := newMemoryLog()
 		follower := follow(t, log, testTrusted("ann"))
 		for version := uint64(1); version <= 200; version++ {
-			put(t, follower, testBundle(version, 0.5, "ann"), "ann")
+			proposeAndSign(t, follower, testBundle(version, 0.5, "ann"), "ann")
 		}
-		time.Sleep(snapshotSpread + 2*pollWait)
+		time.Sleep(maxSnapshotDelay + 2*pollWait)
 		synctest.Wait()
 		is.Equal(len(log.streams[SnapshotStream]), 1)
 		snapshot := log.streams[SnapshotStream][0].Payload
@@ -285,7 +290,7 @@
 		accepted, err := fresh.Confirm(t.Context())
 		is.NoErr(err)
 		is.Equal(accepted.Bundle.Version, uint64(200))
-		is.True(log.readCount()-before <= 6) // two tails, three snapshots, the rest of the stream
+		is.True(log.readCount()-before <= 6) // two for the tails, three for the snapshots, one for the rest of the stream
 		is.Equal(fresh.Stats().NextOffset, int64(400))
 
 		stranger := NewFollower(FollowerConfig{Log: log, Trusted: testTrusted("eve")})
@@ -295,6 +300,7 @@
 	})
 }
 
+// All nodes see the same records. Without a random delay, many of them would write the same snapshot.
 func TestManyNodesWriteFewSnapshots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -303,15 +309,15 @@
 		for range 200 {
 			follow(t, log, testTrusted("ann"))
 		}
-		for range snapshotEvery {
+		for range recordsPerSnapshot {
 			_, err := log.Append(t.Context(), Stream, [][]byte{[]byte("garbage")})
 			is.NoErr(err)
 		}
-		// Records come more often than polls end: with Go 1.26.8 the race detector may crash when many timers of a
-		// synctest bubble end at one instant.
-		const pause = 15 * time.Second
-		for range snapshotSpread / pause {
-			time.Sleep(pause)
+		// Records are appended at shorter intervals than pollWait, because with Go 1.26.8 the race detector may crash when
+		// many timers of a synctest bubble expire at the same instant.
+		const interval = 15 * time.Second
+		for range maxSnapshotDelay / interval {
+			time.Sleep(interval)
 			_, err := log.Append(t.Context(), Stream, [][]byte{[]byte("garbage")})
 			is.NoErr(err)
 		}
@@ -321,7 +327,7 @@
 	})
 }
 
-// tamper puts another bundle in force in a snapshot.
+// tamper returns the snapshot with a forged bundle in force.
 func tamper(t *testing.T, payload []byte) []byte {
 	state, err := decodeSnapshot(payload)
 	if err != nil {
@@ -334,20 +340,20 @@
 	return mustRecord(kindSnapshot, state)
 }
 
-// TestLookingAtAFollowerReadsNothing checks that the age of what a node knows is told without asking the log, and grows
-// while the log is down.
-func TestLookingAtAFollowerReadsNothing(t *testing.T) {
+// TestStatusCallsDoNotReadLog checks that CaughtUpAt, List and Status do not read the log, and that CaughtUpAt stops
+// advancing while the log is down.
+func TestStatusCallsDoNotReadLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		memory := newMemoryLog()
 		follower := follow(t, memory, testTrusted("p"))
 		is.True(!follower.CaughtUpAt().After(time.Now()))
 		time.Sleep(time.Minute)
-		is.True(time.Since(follower.CaughtUpAt()) <= pollWait) // polls that bring nothing count
+		is.True(time.Since(follower.CaughtUpAt()) <= pollWait) // polls without new records count
 		memory.setDown(true)
 		time.Sleep(2 * pollWait)
 		reads, knownAt := memory.readCount(), follower.CaughtUpAt()
-		is.True(time.Since(knownAt) >= pollWait) // failed reads do not
+		is.True(time.Since(knownAt) >= pollWait) // failed reads do not count
 		_, _, err := follower.List(Page{Size: 10})
 		is.NoErr(err)
 		_, _ = follower.Status("")
--- a/internal/bundle/fuzz_test.go
+++ b/internal/bundle/fuzz_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// FuzzDecode checks that Decode and DecodeCanonical both decode the canonical form to the original bundle.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(validDocument))
 	f.Add(Canonical(testBundle(1, 0.3, "ann")))
@@ -17,7 +18,7 @@
 		canonical := Canonical(decoded)
 		again, err := DecodeCanonical(canonical)
 		if err != nil || !reflect.DeepEqual(again, decoded) {
-			t.Fatalf("canonical form does not come back: %v", err)
+			t.Fatalf("canonical form does not decode to the same bundle: %v", err)
 		}
 		if strict, err := Decode(canonical); err != nil || !reflect.DeepEqual(strict, decoded) {
 			t.Fatalf("the two decoders do not agree: %v", err)
@@ -25,6 +26,7 @@
 	})
 }
 
+// FuzzRecords checks that a single record puts no bundle in force and that restored snapshots contain a proven one.
 func FuzzRecords(f *testing.F) {
 	b := testBundle(1, 0.3, "ann")
 	for _, record := range acceptRecords(b, "ann") {
@@ -48,7 +50,7 @@
 			return
 		}
 		if _, err := verifyChain(testTrusted("ann"), 0, chainOf(restored.links, restored.Current())); err != nil {
-			t.Fatalf("snapshot with an unproven bundle was taken: %v", err)
+			t.Fatalf("snapshot with an unproven bundle was accepted: %v", err)
 		}
 	})
 }
--- a/internal/bundle/helpers_test.go
+++ b/internal/bundle/helpers_test.go
@@ -12,7 +12,7 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// testKey derives a key pair from a name, so that tests are the same every time.
+// testKey derives a key pair from a name, so that tests are deterministic.
 func testKey(name string) ed25519.PrivateKey {
 	seed := sha256.Sum256([]byte(name))
 	return ed25519.NewKeyFromSeed(seed[:])
@@ -30,7 +30,7 @@
 	return keys
 }
 
-// testBundle is a valid bundle; a partner's key is derived from its name.
+// testBundle returns a valid bundle; the key of each partner is derived from its name.
 func testBundle(version uint64, share float64, partners ...string) *Bundle {
 	b := &Bundle{Version: version, Base: version - 1}
 	for _, partner := range partners {
@@ -71,7 +71,7 @@
 	return mustRecord(kindSignOff, &record)
 }
 
-// acceptRecords are the records that put a bundle in force.
+// acceptRecords returns the records that put a bundle in force.
 func acceptRecords(b *Bundle, partners ...string) [][]byte {
 	records := [][]byte{proposalRecord(b)}
 	for _, partner := range partners {
@@ -80,6 +80,7 @@
 	return records
 }
 
+// apply folds records from offset next on and returns the offset after them.
 func apply(fold *Fold, next int64, records ...[]byte) int64 {
 	for _, record := range records {
 		fold.Apply(next, record)
@@ -88,23 +89,23 @@
 	return next
 }
 
-var errLost = errors.New("answer was lost")
+var errLost = errors.New("response was lost")
 
-// memoryLog is a log whose failures a test sets.
+// memoryLog is an in-memory log with configurable failures.
 type memoryLog struct {
 	mu      sync.Mutex
 	streams map[string][]platform.Entry
 	changed chan struct{}
 	down    bool
-	// appendFault decides the fate of the nth append, counted from 1.
+	// appendFault returns whether the nth append, counted from 1, takes effect, and the error that it returns.
 	appendFault func(n int) (takesEffect bool, err error)
-	// late, if set, is how much later than its answer an append that did not take effect still does.
-	late    time.Duration
-	appends int
-	reads   int
-	// readDelay, if set, tells how long the answer of a read takes to come back.
+	// effectDelay, if set, is the delay after which an append takes effect although appendFault returned false for it.
+	effectDelay time.Duration
+	appends     int
+	reads       int
+	// readDelay, if set, returns the delay of the response of a read.
 	readDelay func() time.Duration
-	// readGate, if set, is received from before a read that does not wait.
+	// readGate, if set, blocks each read that does not wait until a value is received from it.
 	readGate chan struct{}
 }
 
@@ -127,8 +128,8 @@
 	switch {
 	case takesEffect:
 		l.write(stream, payloads)
-	case l.late > 0:
-		time.AfterFunc(l.late, func() {
+	case l.effectDelay > 0:
+		time.AfterFunc(l.effectDelay, func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			l.write(stream, payloads)
@@ -137,7 +138,7 @@
 	return first, err
 }
 
-// write is called with the lock held.
+// write appends payloads to a stream and wakes waiting reads. The caller must hold mu.
 func (l *memoryLog) write(stream string, payloads [][]byte) {
 	for _, payload := range payloads {
 		offset := int64(len(l.streams[stream]))
@@ -151,9 +152,9 @@
 	if l.readGate != nil && options.Wait == 0 {
 		<-l.readGate
 	}
-	waited := options.Wait == 0
+	waitOver := options.Wait == 0
 	var expired <-chan time.Time
-	if !waited {
+	if !waitOver {
 		timer := time.NewTimer(options.Wait)
 		defer timer.Stop()
 		expired = timer.C
@@ -161,7 +162,7 @@
 	l.count()
 	for {
 		result, changed, err := l.readNow(stream, offset, options)
-		if err != nil || waited || len(result.Entries) > 0 {
+		if err != nil || waitOver || len(result.Entries) > 0 {
 			if l.readDelay != nil {
 				time.Sleep(l.readDelay())
 			}
@@ -170,7 +171,7 @@
 		select {
 		case <-changed:
 		case <-expired:
-			waited = true
+			waitOver = true
 		case <-ctx.Done():
 			return platform.ReadResult{}, ctx.Err()
 		}
@@ -213,7 +214,7 @@
 	return l.reads
 }
 
-// follow runs a follower for the length of a synctest bubble.
+// follow runs a follower until the end of the test.
 func follow(t *testing.T, log platform.Log, trusted TrustedKeys) *Follower {
 	ctx, cancel := context.WithCancel(t.Context())
 	follower := NewFollower(FollowerConfig{Log: log, Trusted: trusted})
@@ -229,12 +230,12 @@
 	return follower
 }
 
-// holdingLog names a tail of the bundle stream but returns no entries of it, and never waits.
-type holdingLog struct {
+// emptyReadLog reports a tail of the bundle stream but returns none of its entries, and never waits.
+type emptyReadLog struct {
 	*memoryLog
 }
 
-func (l *holdingLog) Read(ctx context.Context, stream string, offset int64, options platform.ReadOptions) (platform.ReadResult, error) {
+func (l *emptyReadLog) Read(ctx context.Context, stream string, offset int64, options platform.ReadOptions) (platform.ReadResult, error) {
 	if stream != Stream {
 		return l.memoryLog.Read(ctx, stream, offset, options)
 	}
--- a/internal/bundle/invalid.go
+++ b/internal/bundle/invalid.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// Problem is one fault of a document.
+// Problem is one error in a document.
 type Problem struct {
-	// Line is the line of the document, from 1; 0 where there is no document.
+	// Line is the line in the document, counted from 1; 0 if there is no document.
 	Line int
-	// Path names the key, such as "workloads[2].share".
+	// Path is the path of the key, such as "workloads[2].share".
 	Path   string
 	Reason string
 }
 
-// String writes the problem on one line.
+// String formats the problem on one line.
 func (p Problem) String() string {
 	if p.Path == "" {
 		return fmt.Sprintf("line %d: %s", p.Line, p.Reason)
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("line %d: %s: %s", p.Line, p.Path, p.Reason)
 }
 
-// Invalid says that a document is not a bundle, with every fault found.
+// Invalid is the error for a document that is not a valid bundle. It lists every problem found.
 type Invalid struct {
 	Problems []Problem
 }
@@ -37,13 +37,13 @@
 	return "invalid bundle: " + strings.Join(lines, "; ")
 }
 
-// problems gathers faults and knows the lines of the paths of a document.
+// problems collects the problems of a document and maps the paths of its keys to lines.
 type problems struct {
 	list  []Problem
 	lines map[string]int
 }
 
-// add records a fault at a path, at the line of the path or of the nearest key above it.
+// add records a problem at a path, with the line of the path or of its nearest parent in the document.
 func (p *problems) add(path, format string, arguments ...any) {
 	p.addAt(p.line(path), path, format, arguments...)
 }
@@ -52,8 +52,8 @@
 	p.list = append(p.list, Problem{Line: line, Path: path, Reason: fmt.Sprintf(format, arguments...)})
 }
 
-// written tells whether the document holds the key at path.
-func (p *problems) written(path string) bool {
+// hasKey reports whether the document contains the key at path.
+func (p *problems) hasKey(path string) bool {
 	_, found := p.lines[path]
 	return found
 }
@@ -70,7 +70,7 @@
 	}
 }
 
-// parentPath cuts the last key or index off a path.
+// parentPath removes the last key or index from a path.
 func parentPath(path string) string {
 	cut := strings.LastIndexAny(path, ".[")
 	if cut < 0 {
@@ -79,7 +79,7 @@
 	return path[:cut]
 }
 
-// err returns the faults in the order of their lines, nil where there are none.
+// err returns an *Invalid with the problems sorted by line, nil if there are none.
 func (p *problems) err() error {
 	if len(p.list) == 0 {
 		return nil
--- a/internal/bundle/keys.go
+++ b/internal/bundle/keys.go
@@ -12,18 +12,19 @@
 
 const (
 	privateKeyPrefix = "hillfork-ed25519-private:"
-	// signOffDomain keeps a sign-off from being valid as a signature of anything else.
+	// signOffDomain separates sign-offs from other signatures, so that a sign-off is not valid as a signature of
+	// anything else.
 	signOffDomain = "hillfork bundle sign-off v1\x00"
 )
 
-// TrustedKeys maps a partner to the public keys that sign for it. A node's settings give those for the first bundle;
-// after that they come from the bundle in force.
+// TrustedKeys maps a partner to the public keys that are valid for its signatures. The keys for the first bundle come
+// from the node's settings, later ones from the bundle in force.
 type TrustedKeys map[string][]ed25519.PublicKey
 
-// ParseTrustedKeys reads keys written as in a bundle.
-func ParseTrustedKeys(written map[string][]string) (TrustedKeys, error) {
+// ParseTrustedKeys parses keys in the text form that bundles use.
+func ParseTrustedKeys(texts map[string][]string) (TrustedKeys, error) {
 	keys := TrustedKeys{}
-	for partner, list := range written {
+	for partner, list := range texts {
 		for _, text := range list {
 			key, err := ParsePublicKey(text)
 			if err != nil {
@@ -35,7 +36,7 @@
 	return keys, nil
 }
 
-// keysOf returns the keys that a valid bundle names.
+// keysOf returns the keys in a valid bundle.
 func keysOf(b *Bundle) TrustedKeys {
 	keys := TrustedKeys{}
 	for _, partner := range b.Partners {
@@ -48,18 +49,18 @@
 	return keys
 }
 
-// GenerateKey makes a new key pair from the system's random source.
+// GenerateKey generates a key pair from the system's random source.
 func GenerateKey() (ed25519.PublicKey, ed25519.PrivateKey, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	return public, private, oops.Wrap(err)
 }
 
-// FormatPublicKey writes a public key as bundles and settings hold it: base64.
+// FormatPublicKey encodes a public key in base64, as used in bundles and settings.
 func FormatPublicKey(key ed25519.PublicKey) string {
 	return base64.StdEncoding.EncodeToString(key)
 }
 
-// ParsePublicKey reads a public key written by FormatPublicKey.
+// ParsePublicKey parses a public key in the form that FormatPublicKey returns.
 func ParsePublicKey(text string) (ed25519.PublicKey, error) {
 	key, err := base64.StdEncoding.Strict().DecodeString(text)
 	if err != nil || len(key) != ed25519.PublicKeySize || FormatPublicKey(key) != text {
@@ -68,12 +69,12 @@
 	return key, nil
 }
 
-// FormatPrivateKey writes a private key as the content of a key file.
+// FormatPrivateKey encodes a private key as the content of a key file.
 func FormatPrivateKey(key ed25519.PrivateKey) []byte {
 	return []byte(privateKeyPrefix + base64.StdEncoding.EncodeToString(key.Seed()) + "\n")
 }
 
-// ParsePrivateKey reads the content of a key file. Errors do not repeat the content.
+// ParsePrivateKey parses the content of a key file. Its errors do not contain the content.
 func ParsePrivateKey(content []byte) (ed25519.PrivateKey, error) {
 	text, found := strings.CutPrefix(strings.TrimSpace(string(content)), privateKeyPrefix)
 	if !found {
@@ -86,12 +87,12 @@
 	return ed25519.NewKeyFromSeed(seed), nil
 }
 
-// Sign signs a bundle off.
+// Sign returns the signature of a sign-off of (digest, version, base).
 func Sign(private ed25519.PrivateKey, digest string, version, base uint64) []byte {
 	return ed25519.Sign(private, signOffMessage(digest, version, base))
 }
 
-// Verify tells whether a sign-off was made with the private key of public.
+// Verify reports whether a sign-off was signed with the private key that belongs to public.
 func Verify(public ed25519.PublicKey, digest string, version, base uint64, signature []byte) bool {
 	return len(public) == ed25519.PublicKeySize && ed25519.Verify(public, signOffMessage(digest, version, base), signature)
 }
@@ -102,7 +103,7 @@
 	return binary.BigEndian.AppendUint64(message, base)
 }
 
-// verifyAny tells whether any of the keys made the sign-off.
+// verifyAny reports whether the sign-off was signed with any of the keys.
 func verifyAny(keys []ed25519.PublicKey, digest string, version, base uint64, signature []byte) bool {
 	for _, key := range keys {
 		if Verify(key, digest, version, base, signature) {
--- a/internal/bundle/proof.go
+++ b/internal/bundle/proof.go
@@ -8,16 +8,16 @@
 	"github.com/samber/oops"
 )
 
-// ErrUnproven says that the signatures of a bundle do not prove that every partner accepted it.
+// ErrUnproven is returned for a bundle whose signatures do not prove that every required partner accepted it.
 var ErrUnproven = errors.New("bundle is not proven to be accepted")
 
-// maxLinks bounds the chain of bundles that changed partners or keys. Nodes whose settings hold keys older than the
+// maxLinks limits the chain of bundles that changed partners or keys. Nodes whose settings contain keys older than the
 // whole chain cannot verify it.
 const maxLinks = 256
 
-// requiredKeys returns who must sign a proposal, each with the keys that count: every partner of the bundle in force
-// with its keys there, and every partner that the proposal adds with its keys in the proposal. Without a partner in
-// force nobody can accept anything, and the result is empty.
+// requiredKeys returns the partners that must sign a proposal, each with the keys that are valid for it: every partner
+// of the bundle in force with its keys there, and every partner that the proposal adds with its keys in the proposal.
+// Without a partner in force no proposal can be accepted, and the result is empty.
 func requiredKeys(inForce, proposed TrustedKeys) TrustedKeys {
 	required := TrustedKeys{}
 	if len(inForce) == 0 {
@@ -32,7 +32,7 @@
 	return required
 }
 
-// partnersOf lists the partners in order of name.
+// partnersOf returns the partners sorted by name.
 func partnersOf(keys TrustedKeys) []string {
 	names := make([]string, 0, len(keys))
 	for name := range keys {
@@ -42,7 +42,8 @@
 	return names
 }
 
-// sameKeys tells whether both name the same partners with the same keys, whatever the order of a partner's keys.
+// sameKeys reports whether both contain the same partners with the same keys. The order of a partner's keys does not
+// matter.
 func sameKeys(a, b TrustedKeys) bool {
 	if len(a) != len(b) {
 		return false
@@ -61,7 +62,7 @@
 	return true
 }
 
-// verifyLink checks that every partner that had to has signed the bundle, and returns the bundle.
+// verifyLink checks that every required partner has signed the bundle, and returns the bundle.
 func verifyLink(inForce TrustedKeys, link linkState) (*Accepted, error) {
 	decoded, err := DecodeCanonical(link.Canonical)
 	if err != nil {
@@ -100,9 +101,9 @@
 	return accepted
 }
 
-// verifyChain checks a chain of accepted bundles, oldest first, each signed under the keys of the one before, and
-// returns the last. known holds the keys in force at version; version 0 stands for the keys of the settings, which may
-// be those of any place of the chain.
+// verifyChain verifies a chain of accepted bundles, oldest first, each signed with the keys of the one before, and
+// returns the last. known contains the keys in force at version. Version 0 means that known comes from the settings,
+// which may match any position in the chain.
 func verifyChain(known TrustedKeys, version uint64, chain []linkState) (*Accepted, error) {
 	start, accepted, err := chainStart(known, version, chain)
 	if err != nil {
@@ -121,7 +122,7 @@
 	return accepted, nil
 }
 
-// chainStart finds the first bundle of the chain that the known keys prove.
+// chainStart finds the first bundle of the chain that is newer than version and proven by the known keys.
 func chainStart(known TrustedKeys, version uint64, chain []linkState) (int, *Accepted, error) {
 	var failure error
 	for i, link := range chain {
@@ -137,7 +138,8 @@
 	return 0, nil, failure
 }
 
-// chainOf is the chain that proves accepted: the bundles that changed partners or keys, and accepted itself.
+// chainOf returns the chain that proves accepted: the bundles that changed partners or keys, followed by accepted
+// itself.
 func chainOf(links []linkState, accepted *Accepted) []linkState {
 	chain := append([]linkState(nil), links...)
 	last := len(chain) - 1
@@ -155,7 +157,7 @@
 	return link
 }
 
-// proofOf writes a chain as the peer protocol has it.
+// proofOf converts a chain to the peer protocol.
 func proofOf(chain []linkState) peerapi.BundleProof {
 	last := len(chain) - 1
 	proof := peerapi.BundleProof{Canonical: chain[last].Canonical, Signatures: wireSignatures(chain[last])}
@@ -165,7 +167,7 @@
 	return proof
 }
 
-// chainFrom reads a chain from the peer protocol.
+// chainFrom converts a chain from the peer protocol.
 func chainFrom(proof peerapi.BundleProof) []linkState {
 	var chain []linkState
 	for _, link := range proof.Links {
--- a/internal/bundle/proposals.go
+++ b/internal/bundle/proposals.go
@@ -5,7 +5,7 @@
 	"sort"
 )
 
-// status copies what operators see of a proposal.
+// status returns the status of the proposal as shown to operators.
 func (p *proposalState) status() Status {
 	status := Status{
 		Digest:  p.Digest,
@@ -22,12 +22,12 @@
 	return status
 }
 
-func (p *proposalState) misses(partner string) bool {
+func (p *proposalState) isMissing(partner string) bool {
 	return slices.Contains(p.Missing, partner)
 }
 
-// sign records a verified signature of a partner that was missing.
-func (p *proposalState) sign(partner string, signature []byte) {
+// addSignature records a verified signature of a partner whose signature was missing.
+func (p *proposalState) addSignature(partner string, signature []byte) {
 	p.Signatures = append(p.Signatures, signatureState{Partner: partner, Signature: signature})
 	p.Missing = slices.DeleteFunc(p.Missing, func(name string) bool { return name == partner })
 }
@@ -36,7 +36,7 @@
 	return p.State == StateConflicted || p.State == StateSuperseded
 }
 
-// insert adds a proposal as the newest.
+// insert adds a proposal as the newest, replacing one with the same digest.
 func (f *Fold) insert(proposal *proposalState) {
 	f.remove(proposal.Digest)
 	f.proposals[proposal.Digest] = proposal
@@ -51,9 +51,10 @@
 	f.order = slices.DeleteFunc(f.order, func(other string) bool { return other == digest })
 }
 
-// boundOpen ends the open proposal with the fewest signatures, the oldest of those, when there are too many.
-func (f *Fold) boundOpen(offset int64) []Event {
-	var weakest *proposalState
+// limitOpen ends the open proposal with the fewest signatures, the oldest of several, if more than MaxOpenProposals are
+// open.
+func (f *Fold) limitOpen(offset int64) []Event {
+	var evicted *proposalState
 	open := 0
 	for _, digest := range f.order {
 		proposal := f.proposals[digest]
@@ -61,19 +62,19 @@
 			continue
 		}
 		open++
-		if weakest == nil || len(proposal.Signatures) < len(weakest.Signatures) {
-			weakest = proposal
+		if evicted == nil || len(proposal.Signatures) < len(evicted.Signatures) {
+			evicted = proposal
 		}
 	}
 	if open <= MaxOpenProposals {
 		return nil
 	}
-	return []Event{f.conflict(weakest, offset, "too many proposals were open; propose it again")}
+	return []Event{f.conflict(evicted, offset, "too many proposals were open; propose it again")}
 }
 
-// boundEnded forgets the oldest ended proposals beyond MaxEndedProposals, and the documents of those beyond
+// limitEnded removes the oldest ended proposals beyond MaxEndedProposals, and the documents of those beyond
 // MaxEndedDocuments or MaxEndedDocumentBytes.
-func (f *Fold) boundEnded() {
+func (f *Fold) limitEnded() {
 	ended, bytes := 0, 0
 	for i := len(f.order) - 1; i >= 0; i-- {
 		proposal := f.proposals[f.order[i]]
@@ -92,7 +93,7 @@
 	}
 }
 
-// withoutBytes keeps who signed.
+// withoutBytes returns the signatures with only their partner names.
 func withoutBytes(signatures []signatureState) []signatureState {
 	kept := make([]signatureState, len(signatures))
 	for i, signature := range signatures {
@@ -101,8 +102,8 @@
 	return kept
 }
 
-// list returns up to size proposals older than the offset before, newest first, and the offset to go on before; 0 at
-// the end of the list.
+// list returns up to size proposals with offsets below before, newest first, and the value of before for the next page,
+// 0 at the end of the list.
 func (f *Fold) list(before int64, size int) ([]Status, int64) {
 	var page []Status
 	for i := len(f.order) - 1; i >= 0; i-- {
--- a/internal/bundle/propose.go
+++ b/internal/bundle/propose.go
@@ -16,42 +16,41 @@
 	"github.com/samber/oops"
 )
 
-// Errors of operators' calls. Unless an error is ErrUncertain, the call is known to have had no effect.
+// Errors of the operators' calls. A call that returns any error but ErrUncertain had no effect.
 var (
-	// ErrConflict says that the base is not, or no longer, the version in force. The error is a *ConflictError.
+	// ErrConflict means that the base is not, or no longer, the version in force. The error is a *ConflictError.
 	ErrConflict = errors.New("bundle conflicts with the version in force")
-	// ErrUnknownProposal says that no proposal with the digest is known.
+	// ErrUnknownProposal means that no proposal with the digest is known.
 	ErrUnknownProposal = errors.New("proposal is unknown")
-	// ErrUnknownKey says that the signer does not sign for the partner: the partner need not sign, or the key is not one
-	// that counts for it.
+	// ErrUnknownKey means that the partner does not have to sign, or that the key is not valid for the partner.
 	ErrUnknownKey = errors.New("key does not sign for the partner")
-	// ErrBadSignature says that the signature is not one of (digest, version, base) by any known key.
+	// ErrBadSignature means that no known key verifies the signature of (digest, version, base).
 	ErrBadSignature = errors.New("signature does not verify")
-	// ErrUncertain says that the log could not be asked in time whether the record took effect.
+	// ErrUncertain means that the log could not be read in time to determine whether the record took effect.
 	ErrUncertain = errors.New("record may or may not have taken effect")
-	// ErrUnavailable says that the log could not be reached in time and nothing was written.
+	// ErrUnavailable means that the log could not be reached in time and nothing was written.
 	ErrUnavailable = errors.New("log is unavailable")
-	// ErrBadPage says that a page token is not one that List returned.
+	// ErrBadPage means that the page token is not one that List returned.
 	ErrBadPage = errors.New("page token is not valid")
 )
 
 const (
-	// settleTimeout bounds a call of an operator whose context has no earlier deadline.
-	settleTimeout = 30 * time.Second
-	// maxPageSize bounds a page of List; it is also the size where none is given.
+	// callTimeout limits an operator's call whose context has no earlier deadline.
+	callTimeout = 30 * time.Second
+	// maxPageSize limits the size of a page of List; it is also the default size.
 	maxPageSize = 100
 )
 
-// ConflictError tells why a proposal cannot be accepted.
+// ConflictError is the error for a proposal that cannot be accepted because of its base.
 type ConflictError struct {
-	// Proposal is the proposal, as far as it was recorded.
+	// Proposal is the proposal, as far as it is recorded.
 	Proposal Status
-	// InForce is the version in force, 0 for none, and Digest its digest.
+	// InForce is the version in force, 0 if there is none, and Digest its digest.
 	InForce uint64
 	Digest  string
 }
 
-// Error tells which version is in force.
+// Error names the base of the proposal and the version in force.
 func (e *ConflictError) Error() string {
 	if e.InForce == 0 {
 		return fmt.Sprintf("%v: base is %d, no bundle is in force", ErrConflict, e.Proposal.Base)
@@ -59,20 +58,20 @@
 	return fmt.Sprintf("%v: base is %d, version %d is in force as %s", ErrConflict, e.Proposal.Base, e.InForce, e.Digest)
 }
 
-// Is makes the error an ErrConflict.
+// Is reports whether target is ErrConflict.
 func (e *ConflictError) Is(target error) bool {
 	return target == ErrConflict
 }
 
-// ProposeResult names a proposal that was recorded.
+// ProposeResult identifies a recorded proposal.
 type ProposeResult struct {
 	Digest  string
 	Version uint64
 	Base    uint64
 }
 
-// Propose puts a document up for sign-off and returns once the stream shows it. Proposing the same content again is no
-// second proposal. Errors: *Invalid, ErrConflict, ErrUncertain, ErrUnavailable.
+// Propose proposes a document for sign-off and returns once the proposal is visible in the stream. Proposing the same
+// content again does not create a second proposal. Errors: *Invalid, ErrConflict, ErrUncertain, ErrUnavailable.
 func (f *Follower) Propose(ctx context.Context, document []byte) (ProposeResult, error) {
 	decoded, err := Decode(document)
 	if err != nil {
@@ -87,17 +86,17 @@
 	if err != nil {
 		return ProposeResult{}, err
 	}
-	settled := func(fold *Fold) (bool, error) {
-		return proposalSettled(fold, result)
+	outcome := func(fold *Fold) (bool, error) {
+		return proposalOutcome(fold, result)
 	}
-	if err := f.settle(ctx, payload, settled); err != nil {
+	if err := f.appendUntilVisible(ctx, payload, outcome); err != nil {
 		return ProposeResult{}, err
 	}
 	return result, nil
 }
 
-// proposalSettled tells whether a proposal is recorded, or why it never will be.
-func proposalSettled(fold *Fold, proposal ProposeResult) (bool, error) {
+// proposalOutcome reports whether a proposal is recorded, or returns an error if it can no longer be.
+func proposalOutcome(fold *Fold, proposal ProposeResult) (bool, error) {
 	status, found := fold.Status(proposal.Digest)
 	if found && status.State != StateConflicted {
 		return true, nil
@@ -119,29 +118,29 @@
 	return conflict
 }
 
-// SignOff records a partner's signature of a proposal and returns the proposal's state once the stream shows it.
-// Signing the same again changes nothing. Errors: ErrUnknownProposal, ErrConflict, ErrUnknownKey, ErrBadSignature,
-// ErrUncertain, ErrUnavailable.
+// SignOff records a partner's signature of a proposal and returns the proposal's status once the signature is visible
+// in the stream. Recording the same signature again changes nothing. Errors: ErrUnknownProposal, ErrConflict,
+// ErrUnknownKey, ErrBadSignature, ErrUncertain, ErrUnavailable.
 func (f *Follower) SignOff(ctx context.Context, signOff SignOff) (Status, error) {
 	payload, err := encodeRecord(kindSignOff, &signOff)
 	if err != nil {
 		return Status{}, err
 	}
 	var status Status
-	settled := func(fold *Fold) (bool, error) {
+	outcome := func(fold *Fold) (bool, error) {
 		var done bool
 		var err error
-		status, done, err = signOffSettled(fold, signOff)
+		status, done, err = signOffOutcome(fold, signOff)
 		return done, err
 	}
-	if err := f.settle(ctx, payload, settled); err != nil {
+	if err := f.appendUntilVisible(ctx, payload, outcome); err != nil {
 		return Status{}, err
 	}
 	return status, nil
 }
 
-// signOffSettled tells whether a signature is recorded, or why it never will be.
-func signOffSettled(fold *Fold, signOff SignOff) (Status, bool, error) {
+// signOffOutcome reports whether a signature is recorded, or returns an error if it can no longer be.
+func signOffOutcome(fold *Fold, signOff SignOff) (Status, bool, error) {
 	status, found := fold.Status(signOff.Digest)
 	if !found {
 		return Status{}, false, oops.With("digest", signOff.Digest).Wrap(ErrUnknownProposal)
@@ -161,13 +160,13 @@
 	return status, false, checkSignOff(fold, signOff)
 }
 
-// checkSignOff tells why a signature of an open proposal does not count, nil if it does.
+// checkSignOff returns the reason why a signature of an open proposal is not valid, nil if it is.
 func checkSignOff(fold *Fold, signOff SignOff) error {
 	proposal := fold.proposals[signOff.Digest]
-	if !proposal.misses(signOff.Partner) {
+	if !proposal.isMissing(signOff.Partner) {
 		return oops.Wrapf(ErrUnknownKey, "partner %q does not have to sign", signOff.Partner)
 	}
-	if fold.signatureCounts(proposal, signOff) {
+	if fold.signatureValid(proposal, signOff) {
 		return nil
 	}
 	if fold.signedByOtherKey(proposal, signOff) {
@@ -176,7 +175,7 @@
 	return oops.Wrap(ErrBadSignature)
 }
 
-// signedByOtherKey tells whether a signature was made by a key that is known, but does not count for the partner.
+// signedByOtherKey reports whether a signature was made with a known key that is not valid for the partner.
 func (f *Fold) signedByOtherKey(proposal *proposalState, signOff SignOff) bool {
 	decoded, err := DecodeCanonical(proposal.Canonical)
 	if err != nil {
@@ -192,7 +191,7 @@
 	return false
 }
 
-// retiredKeys are those of the bundles that changed partners or keys.
+// retiredKeys returns the trusted keys and the keys of the bundles that changed partners or keys.
 func (f *Fold) retiredKeys() []TrustedKeys {
 	retired := []TrustedKeys{f.trusted}
 	for _, link := range f.links {
@@ -203,21 +202,22 @@
 	return retired
 }
 
-// settle writes a record until the stream shows its effect. settled is asked, under the lock, with the fold up to the
-// tail: it tells whether the effect is there, or an error that says why it never will be. A lost answer to an append is
-// settled by reading; the record may be appended again, for its repeat changes nothing.
-func (f *Follower) settle(ctx context.Context, payload []byte, settled func(*Fold) (bool, error)) error {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+// appendUntilVisible appends a record until its effect is visible in the stream. outcome is called with mu held and the
+// fold up to the tail. It reports whether the effect is visible, or returns an error if it can no longer occur. If the
+// response to an append is lost, the stream is read to determine whether the record was written. The record may be
+// appended again, because a repeated record changes nothing.
+func (f *Follower) appendUntilVisible(ctx context.Context, payload []byte, outcome func(*Fold) (bool, error)) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	retry := backoff.ExponentialBackOff{
-		InitialInterval:     retryFirst,
+		InitialInterval:     minRetryDelay,
 		RandomizationFactor: backoff.DefaultRandomizationFactor,
 		Multiplier:          backoff.DefaultMultiplier,
-		MaxInterval:         retryMost,
+		MaxInterval:         maxRetryDelay,
 	}
 	maybeWritten, written := false, false
 	for {
-		done, failure, readError := f.askSettled(ctx, settled)
+		done, failure, readError := f.checkOutcome(ctx, outcome)
 		if readError == nil && (done || failure != nil) {
 			return failure
 		}
@@ -230,28 +230,32 @@
 			written = true
 			continue
 		}
-		errorlog.Warn(f.logger, "bundle record not settled yet", errors.Join(readError, appendError))
+		errorlog.Warn(f.logger, "bundle record is not confirmed in the stream yet", errors.Join(readError, appendError))
 		pause.For(ctx, retry.NextBackOff())
 		if ctx.Err() != nil {
-			return unsettled(maybeWritten, errors.Join(readError, appendError))
+			return timeoutError(maybeWritten, errors.Join(readError, appendError))
 		}
 	}
 }
 
-func unsettled(maybeWritten bool, cause error) error {
+// timeoutError returns the error for a call that timed out: ErrUncertain if the record may have been written, else
+// ErrUnavailable.
+func timeoutError(maybeWritten bool, cause error) error {
 	if maybeWritten {
 		return oops.With("cause", cause).Wrapf(ErrUncertain, "%v", cause)
 	}
 	return oops.With("cause", cause).Wrapf(ErrUnavailable, "%v", cause)
 }
 
-func (f *Follower) askSettled(ctx context.Context, settled func(*Fold) (bool, error)) (done bool, failure, readError error) {
+// checkOutcome folds the stream up to its tail and calls outcome. failure is the error of outcome, readError that of
+// the reads.
+func (f *Follower) checkOutcome(ctx context.Context, outcome func(*Fold) (bool, error)) (done bool, failure, readError error) {
 	if err := f.catchUp(ctx); err != nil {
 		return false, nil, err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	done, failure = settled(f.fold)
+	done, failure = outcome(f.fold)
 	return done, failure, nil
 }
 
@@ -262,7 +266,7 @@
 	return oops.Wrapf(err, "append to log")
 }
 
-// Status tells how a proposal stands as far as is known here; ErrUnknownProposal where it is not.
+// Status returns the status of a proposal as known on this node, or ErrUnknownProposal.
 func (f *Follower) Status(digest string) (Status, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -276,7 +280,8 @@
 	return f.withLearned(status), nil
 }
 
-// withLearned corrects a status of the fold by what was learned from a peer. It is called with the lock held.
+// withLearned returns a status of the fold, with a bundle in force reported as superseded if a newer one was learned
+// from a peer. The caller must hold mu.
 func (f *Follower) withLearned(status Status) Status {
 	if f.learned != nil && status.State == StateInForce {
 		status.State = StateSuperseded
@@ -284,8 +289,8 @@
 	return status
 }
 
-// Document returns the canonical form of a proposal that is still kept: the bundle in force, every open proposal and
-// the newest MaxEndedDocuments ended ones.
+// Document returns the canonical form of a proposal that is still kept: the bundle in force, all open proposals and up
+// to MaxEndedDocuments of the newest ended ones.
 func (f *Follower) Document(digest string) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -299,16 +304,16 @@
 	return proposal.Canonical, nil
 }
 
-// Page asks for a part of a list.
+// Page selects a page of a list.
 type Page struct {
-	// Size bounds the items; 0 or more than 100 gives 100.
+	// Size limits the items; 0 or a value above 100 selects 100.
 	Size int
-	// Token is empty for the first page, and else what the page before returned.
+	// Token is empty for the first page, else the token that the previous call of List returned.
 	Token string
 }
 
-// List returns proposals that are still kept, newest first, and the token of the next page, empty at the end. A bundle
-// learned from a peer is listed once the log has been read as far.
+// List returns the proposals that are still kept, newest first, and the token of the next page, empty at the end. A
+// bundle that was learned from a peer is listed once the fold has reached it.
 func (f *Follower) List(page Page) ([]Status, string, error) {
 	before := int64(math.MaxInt64)
 	if page.Token != "" {
--- a/internal/bundle/race_test.go
+++ b/internal/bundle/race_test.go
@@ -13,18 +13,18 @@
 	"github.com/matryer/is"
 )
 
-// told is what an operator was told of the bundle it tried to bring into force.
-type told struct {
+// operatorResult is the result of an operator's attempt to put a bundle in force.
+type operatorResult struct {
 	digest   string
 	accepted bool
 	err      error
 }
 
-// operate proposes its own bundle on the version in force, again and again, and signs it for both partners.
-// Every confirmation must show at least newest, the newest version that any operator was told is in force.
-func operate(t *testing.T, follower *Follower, newest *atomic.Uint64, share float64, rounds int) []told {
+// operate repeatedly proposes a bundle based on the version in force and signs it for both partners. newest is the
+// newest version that any operator saw accepted; every later confirmation must return at least that version.
+func operate(t *testing.T, follower *Follower, newest *atomic.Uint64, share float64, rounds int) []operatorResult {
 	is, ctx := is.New(t), t.Context()
-	var answers []told
+	var results []operatorResult
 	for range rounds {
 		known := newest.Load()
 		current, err := follower.Confirm(ctx)
@@ -33,27 +33,27 @@
 		if current != nil {
 			version = current.Bundle.Version + 1
 		}
-		is.True(version > known) // the confirmation is not older than the call
+		is.True(version > known) // the confirmed version is not older than the call
 		b := testBundle(version, share, "ann", "bob")
-		answer := told{digest: digestOf(b)}
-		_, answer.err = follower.Propose(ctx, Canonical(b))
+		result := operatorResult{digest: digestOf(b)}
+		_, result.err = follower.Propose(ctx, Canonical(b))
 		for _, partner := range []string{"ann", "bob"} {
-			if answer.err == nil {
+			if result.err == nil {
 				var status Status
-				status, answer.err = follower.SignOff(ctx, signOff(b, partner, partner))
-				answer.accepted = answer.err == nil && (status.State == StateInForce || status.State == StateSuperseded)
+				status, result.err = follower.SignOff(ctx, signOff(b, partner, partner))
+				result.accepted = result.err == nil && (status.State == StateInForce || status.State == StateSuperseded)
 			}
 		}
-		if answer.accepted {
-			raise(newest, version)
+		if result.accepted {
+			storeMax(newest, version)
 		}
-		answers = append(answers, answer)
+		results = append(results, result)
 	}
-	return answers
+	return results
 }
 
-// raise sets value to at least floor.
-func raise(value *atomic.Uint64, floor uint64) {
+// storeMax sets value to floor if it is lower.
+func storeMax(value *atomic.Uint64, floor uint64) {
 	for {
 		before := value.Load()
 		if before >= floor || value.CompareAndSwap(before, floor) {
@@ -62,15 +62,15 @@
 	}
 }
 
-// TestRacingOperatorsAreToldTheTruth lets operators race over a log that loses answers before, after and long before
-// the effect, and holds what they were told against the stream.
-func TestRacingOperatorsAreToldTheTruth(t *testing.T) {
+// TestConcurrentOperatorsGetCorrectResults runs concurrent operators on a log that loses responses before, after and
+// long before the append takes effect, and compares the results of their calls with the stream.
+func TestConcurrentOperatorsGetCorrectResults(t *testing.T) {
 	wins, conflicts := 0, 0
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				log := newMemoryLog()
-				log.late = 700 * time.Millisecond
+				log.effectDelay = 700 * time.Millisecond
 				random := rand.New(rand.NewPCG(seed, 1))
 				delays := rand.New(rand.NewPCG(seed, 2))
 				var delaysMu sync.Mutex
@@ -80,8 +80,8 @@
 					return time.Duration(delays.Int64N(int64(100 * time.Millisecond)))
 				}
 				log.appendFault = func(int) (bool, error) {
-					fate := random.IntN(4)
-					return fate < 2, lostIf(fate != 0)
+					outcome := random.IntN(4)
+					return outcome < 2, lostIf(outcome != 0)
 				}
 				won, lost := race(t, log)
 				wins, conflicts = wins+won, conflicts+lost
@@ -89,28 +89,28 @@
 		})
 	}
 	if wins == 0 || conflicts == 0 {
-		t.Fatalf("%d wins and %d conflicts; the test examined nothing", wins, conflicts)
+		t.Fatalf("%d wins and %d conflicts; both must occur", wins, conflicts)
 	}
 }
 
-// race runs the operators and checks their answers; it returns how many wins and conflicts they were told of.
+// race runs the operators, checks their results, and returns how many of them were wins and conflicts.
 func race(t *testing.T, log *memoryLog) (wins, conflicts int) {
 	is := is.New(t)
 	var mu sync.Mutex
-	var answers []told
+	var results []operatorResult
 	var newest atomic.Uint64
 	var operators sync.WaitGroup
 	followers := []*Follower{follow(t, log, testTrusted("ann", "bob")), follow(t, log, testTrusted("ann", "bob"))}
 	for i := range 4 * len(followers) {
 		operators.Go(func() {
-			mine := operate(t, followers[i/4], &newest, float64(i+1)/10, 4)
+			own := operate(t, followers[i/4], &newest, float64(i+1)/10, 4)
 			mu.Lock()
 			defer mu.Unlock()
-			answers = append(answers, mine...)
+			results = append(results, own...)
 		})
 	}
 	operators.Wait()
-	time.Sleep(2 * log.late) // what was still on its way has taken effect
+	time.Sleep(2 * log.effectDelay) // delayed appends have taken effect
 	synctest.Wait()
 
 	accepted := map[string]bool{}
@@ -122,35 +122,36 @@
 			}
 		}
 	}
-	is.Equal(len(accepted), int(fold.Version())) // one winner a version
+	is.Equal(len(accepted), int(fold.Version())) // one accepted bundle per version
 	for _, follower := range followers {
 		is.Equal(follower.Current().Digest, fold.Current().Digest)
 	}
-	for _, answer := range answers {
+	for _, result := range results {
 		switch {
-		case answer.accepted:
+		case result.accepted:
 			wins++
-			is.True(accepted[answer.digest])
-		case errors.Is(answer.err, ErrConflict):
+			is.True(accepted[result.digest])
+		case errors.Is(result.err, ErrConflict):
 			conflicts++
-			is.True(!accepted[answer.digest]) // told of a conflict, yet accepted
+			is.True(!accepted[result.digest]) // a bundle with a reported conflict must not be accepted
 		default:
-			is.NoErr(answer.err)
+			is.NoErr(result.err)
 		}
 	}
 	return wins, conflicts
 }
 
-func TestALogThatAnswersBadlyIsNotAskedInALoop(t *testing.T) {
+// A log that reports a tail but returns no entries must not be read in a busy loop.
+func TestReadsWithoutEntriesAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		log := &holdingLog{memoryLog: newMemoryLog()}
+		log := &emptyReadLog{memoryLog: newMemoryLog()}
 		follower := follow(t, log, testTrusted("ann"))
 		_, err := follower.Confirm(t.Context())
 		is.True(err != nil) // the tail was never reached, so nothing is confirmed
-		synctest.Wait()     // the follower has started and pauses
+		synctest.Wait()     // the follower has started and is waiting
 		before := log.readCount()
 		time.Sleep(time.Minute)
-		is.True(log.readCount()-before <= int(time.Minute/minPoll)+1)
+		is.True(log.readCount()-before <= int(time.Minute/minPollInterval)+1)
 	})
 }
--- a/internal/bundle/records.go
+++ b/internal/bundle/records.go
@@ -7,18 +7,19 @@
 
 //go:generate go tool msgp -file records.go -tests=false -unexported
 
-// The limits keep a length in a garbled record from making a decoder allocate. That of the documents is MaxDocumentBytes.
+// The limits prevent a length in a corrupt record from causing a large allocation. The limit of documents is
+// MaxDocumentBytes.
 //
 //msgp:limit arrays:4096 maps:64
 //msgp:tuple envelope
 
-// Streams of the log that hold bundles.
+// Log streams of bundle records and of their snapshots.
 const (
 	Stream         = "bundles"
 	SnapshotStream = "bundles.snapshots"
 )
 
-// recordFormat is the version of the encoding of records. Records of another one are skipped.
+// recordFormat is the version of the record encoding. Records of other versions are skipped.
 const recordFormat = 1
 
 // Kinds of record.
@@ -28,7 +29,7 @@
 	kindSnapshot
 )
 
-// maxRecordBytes bounds a record of the bundle stream.
+// maxRecordBytes limits the size of a record of the bundle stream.
 const maxRecordBytes = MaxDocumentBytes + 4096
 
 // State is the state of a proposal.
@@ -36,16 +37,17 @@
 
 // States of a proposal.
 const (
-	// StateProposed waits for sign-offs.
+	// StateProposed is a proposal that waits for sign-offs.
 	StateProposed State = iota + 1
 	StateInForce
-	// StateSuperseded was in force before a later version.
+	// StateSuperseded is a bundle that was in force before a later version.
 	StateSuperseded
-	// StateConflicted can no longer be accepted: its base is not, or no longer, the version in force.
+	// StateConflicted is a proposal that can no longer be accepted because its base is not, or no longer, the version
+	// in force.
 	StateConflicted
 )
 
-// envelope is one payload of the log.
+// envelope wraps each payload of the log.
 type envelope struct {
 	Format uint8
 	Kind   uint8
@@ -53,7 +55,7 @@
 	Body msgp.Raw
 }
 
-// Proposal is the record that puts a bundle up for sign-off.
+// Proposal is the record that proposes a bundle for sign-off.
 type Proposal struct {
 	Canonical []byte `msg:"c,limit=262144"`
 }
@@ -73,12 +75,12 @@
 	Signature []byte `msg:"s"`
 }
 
-// proposalState is a proposal as the fold keeps it.
+// proposalState is the state of a proposal in the fold.
 type proposalState struct {
 	Digest  string `msg:"d"`
 	Version uint64 `msg:"v"`
 	Base    uint64 `msg:"b"`
-	// Offset is where the proposal was first read.
+	// Offset is the offset of the record that opened the proposal.
 	Offset     int64            `msg:"o"`
 	State      State            `msg:"st"`
 	Reason     string           `msg:"r"`
@@ -93,7 +95,7 @@
 	Signatures []signatureState `msg:"s"`
 }
 
-// snapshotState is the fold of a bundle stream below NextOffset.
+// snapshotState is the state of the fold of all records below NextOffset.
 type snapshotState struct {
 	NextOffset int64           `msg:"n"`
 	Skipped    uint64          `msg:"sk"`
@@ -102,7 +104,7 @@
 	Links      []linkState     `msg:"l"`
 }
 
-// recordBody is what goes into an envelope.
+// recordBody is the content of an envelope.
 type recordBody interface {
 	MarshalMsg([]byte) ([]byte, error)
 }
@@ -117,7 +119,7 @@
 	return payload, oops.Wrap(err)
 }
 
-// decodeEnvelope opens a payload of this format, with nothing after it.
+// decodeEnvelope decodes a payload. It rejects other formats and trailing bytes.
 func decodeEnvelope(payload []byte) (envelope, error) {
 	var wrapped envelope
 	rest, err := wrapped.UnmarshalMsg(payload)
--- a/internal/bundle/snapshot.go
+++ b/internal/bundle/snapshot.go
@@ -34,8 +34,8 @@
 	return state, nil
 }
 
-// restoreFold rebuilds a fold from a snapshot. Snapshots are not signed, so the signatures inside are verified anew:
-// those of the bundle in force, along the chain from the trusted keys, and those of every open proposal.
+// restoreFold rebuilds a fold from a snapshot. Snapshots are not signed, so their signatures are verified again: those
+// of the bundle in force, along the chain from the trusted keys, and those of every open proposal.
 func restoreFold(trusted TrustedKeys, state *snapshotState) (*Fold, error) {
 	fold := NewFold(trusted)
 	fold.skipped = state.Skipped
@@ -78,7 +78,7 @@
 	return err
 }
 
-// checkRestored refuses a proposal of a snapshot that no fold could hold.
+// checkRestored returns an error for a proposal whose state is not possible in a fold.
 func (f *Fold) checkRestored(proposal *proposalState) error {
 	isInForce := f.inForce != nil && f.inForce.Digest == proposal.Digest
 	switch proposal.State {
@@ -94,6 +94,7 @@
 	}
 }
 
+// checkRestoredOpen checks an open proposal against its document and verifies its signatures.
 func (f *Fold) checkRestoredOpen(proposal *proposalState) error {
 	decoded, err := DecodeCanonical(proposal.Canonical)
 	if err != nil {
@@ -109,10 +110,10 @@
 	proposal.Missing = partnersOf(required)
 	for _, signature := range signed {
 		valid := verifyAny(required[signature.Partner], proposal.Digest, proposal.Version, proposal.Base, signature.Signature)
-		if !valid || !proposal.misses(signature.Partner) {
+		if !valid || !proposal.isMissing(signature.Partner) {
 			return oops.Errorf("snapshot has a signature that does not verify")
 		}
-		proposal.sign(signature.Partner, signature.Signature)
+		proposal.addSignature(signature.Partner, signature.Signature)
 	}
 	if len(proposal.Missing) == 0 && len(required) > 0 {
 		return oops.Errorf("snapshot has an open proposal that every partner signed")
--- a/internal/bundle/snapshots.go
+++ b/internal/bundle/snapshots.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// snapshotEvery is how many records there are between snapshots.
-	snapshotEvery = 256
-	// snapshotSpread is the time over which the nodes spread the writing of one snapshot, so that most of them find it
+	// recordsPerSnapshot is the number of records between snapshots.
+	recordsPerSnapshot = 256
+	// maxSnapshotDelay limits the random delay before a node writes a due snapshot. The delay lets most nodes find it
 	// already written.
-	snapshotSpread = 5 * time.Minute
-	// snapshotTries is how many snapshots, newest first, are tried at the start.
-	snapshotTries = 8
+	maxSnapshotDelay = 5 * time.Minute
+	// maxSnapshotAttempts limits the snapshots, newest first, that are tried when the newest valid one is searched for.
+	maxSnapshotAttempts = 8
 )
 
-// start takes over the newest valid snapshot, once.
-func (f *Follower) start(ctx context.Context) error {
+// loadSnapshot loads the newest valid snapshot. It does so once; later calls do nothing.
+func (f *Follower) loadSnapshot(ctx context.Context) error {
 	f.mu.Lock()
 	started := f.started
 	f.mu.Unlock()
@@ -34,8 +34,8 @@
 	}
 	f.mu.Lock()
 	if !f.started && fold != nil && next > f.next {
-		f.fold, f.next, f.snapshotted = fold, next, next
-		f.refresh()
+		f.fold, f.next, f.snapshotOffset = fold, next, next
+		f.updateCurrent()
 	}
 	f.started = true
 	f.mu.Unlock()
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// newestSnapshot returns the newest snapshot that is valid, nil if there is none.
+// newestSnapshot returns the newest valid snapshot and its offset, nil if there is none.
 func (f *Follower) newestSnapshot(ctx context.Context) (*Fold, int64, error) {
 	bundles, err := f.read(ctx, Stream, 0, platform.ReadOptions{})
 	if err != nil {
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	for offset := snapshots.Tail - 1; offset >= 0 && offset >= snapshots.Tail-snapshotTries; offset-- {
+	for offset := snapshots.Tail - 1; offset >= 0 && offset >= snapshots.Tail-maxSnapshotAttempts; offset-- {
 		payload, err := f.readSnapshot(ctx, offset)
 		if err != nil {
 			return nil, 0, err
@@ -78,7 +78,7 @@
 	return result.Entries[0].Payload, nil
 }
 
-// openSnapshot decodes and verifies a snapshot. tail bounds the offset that it may claim.
+// openSnapshot decodes and verifies a snapshot. Its offset must not be beyond tail.
 func openSnapshot(trusted TrustedKeys, payload []byte, tail int64) (*Fold, int64, error) {
 	state, err := decodeSnapshot(payload)
 	if err != nil {
@@ -91,23 +91,24 @@
 	return fold, state.NextOffset, err
 }
 
-// pollTime is how long the next read may wait: not beyond the time of this node's own snapshot. Records wake all nodes
-// at once; were they to look for due snapshots only then, many would write one.
-func (f *Follower) pollTime() time.Duration {
+// pollTimeout returns how long the next read may wait: up to pollWait, but not beyond the time at which this node's
+// snapshot is due. New records wake all nodes at once; if nodes checked for due snapshots only then, many would write
+// one.
+func (f *Follower) pollTimeout() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.snapshotDue.IsZero() {
 		return pollWait
 	}
-	return min(pollWait, max(minPoll, time.Until(f.snapshotDue)))
+	return min(pollWait, max(minPollInterval, time.Until(f.snapshotDue)))
 }
 
-// snapshotIfDue writes a snapshot when enough records have come since the last and no other node was faster.
+// snapshotIfDue writes a snapshot if it is due and no other node has written one.
 func (f *Follower) snapshotIfDue(ctx context.Context) {
 	if !f.snapshotDueNow() {
 		return
 	}
-	if err := f.refreshSnapshotted(ctx); err != nil {
+	if err := f.updateSnapshotOffset(ctx); err != nil {
 		errorlog.Warn(f.logger, "bundle snapshots cannot be read", err)
 		return
 	}
@@ -122,20 +123,21 @@
 		return
 	}
 	f.mu.Lock()
-	f.snapshotted = max(f.snapshotted, next)
+	f.snapshotOffset = max(f.snapshotOffset, next)
 	f.mu.Unlock()
 }
 
-// snapshotDueNow sets the time of the next snapshot once enough records have come, and tells when it has passed.
+// snapshotDueNow schedules the next snapshot once there are enough new records, and reports whether its time has
+// passed.
 func (f *Follower) snapshotDueNow() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.next-f.snapshotted < snapshotEvery {
+	if f.next-f.snapshotOffset < recordsPerSnapshot {
 		f.snapshotDue = time.Time{}
 		return false
 	}
 	if f.snapshotDue.IsZero() {
-		f.snapshotDue = time.Now().Add(rand.N(snapshotSpread))
+		f.snapshotDue = time.Now().Add(rand.N(maxSnapshotDelay))
 	}
 	if time.Now().Before(f.snapshotDue) {
 		return false
@@ -144,23 +146,23 @@
 	return true
 }
 
-// refreshSnapshotted looks how far the newest valid snapshot goes.
-func (f *Follower) refreshSnapshotted(ctx context.Context) error {
+// updateSnapshotOffset updates snapshotOffset from the newest valid snapshot.
+func (f *Follower) updateSnapshotOffset(ctx context.Context) error {
 	_, next, err := f.newestSnapshot(ctx)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.snapshotted = max(f.snapshotted, next)
+	f.snapshotOffset = max(f.snapshotOffset, next)
 	return nil
 }
 
-// encodeSnapshot encodes the state, nil if a recent snapshot makes that needless.
+// encodeSnapshot returns the encoded state and its offset, nil if a recent snapshot makes a new one unnecessary.
 func (f *Follower) encodeSnapshot() ([]byte, int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.next-f.snapshotted < snapshotEvery {
+	if f.next-f.snapshotOffset < recordsPerSnapshot {
 		return nil, 0, nil
 	}
 	payload, err := f.fold.snapshot(f.next)
--- a/internal/bundle/status.go
+++ b/internal/bundle/status.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// String names the state.
+// String returns the name of the state.
 func (s State) String() string {
 	switch s {
 	case StateProposed:
@@ -18,20 +18,20 @@
 	}
 }
 
-// Status tells how a proposal stands.
+// Status is the status of a proposal.
 type Status struct {
 	Digest  string
 	Version uint64
 	Base    uint64
 	State   State
-	// SignedBy and Missing list partners in order of name. Missing is empty once the proposal has ended.
+	// SignedBy and Missing list partners sorted by name. Missing is empty once the proposal has ended.
 	SignedBy []string
 	Missing  []string
-	// Reason says why a conflicted proposal ended.
+	// Reason is the reason why a conflicted proposal ended.
 	Reason string
 }
 
-// status is that of a bundle in force.
+// status returns the status of a bundle in force.
 func (a *Accepted) status() Status {
 	status := Status{Digest: a.Digest, Version: a.Bundle.Version, Base: a.Bundle.Base, State: StateInForce}
 	for _, signature := range a.Signatures {
@@ -41,20 +41,20 @@
 	return status
 }
 
-// EventKind says what a record did.
+// EventKind is the kind of an effect of a record.
 type EventKind uint8
 
-// Effects of records.
+// Kinds of effects.
 const (
-	// EventProposed opened a proposal.
+	// EventProposed means that the record opened a proposal.
 	EventProposed EventKind = iota + 1
-	// EventSigned added a signature.
+	// EventSigned means that the record added a signature.
 	EventSigned
-	// EventAccepted put a proposal in force.
+	// EventAccepted means that the record put a proposal in force.
 	EventAccepted
-	// EventConflicted ended a proposal that was not accepted.
+	// EventConflicted means that the record ended a proposal that was not accepted.
 	EventConflicted
-	// EventSkipped left everything as it was.
+	// EventSkipped means that the record had no effect.
 	EventSkipped
 )
 
@@ -62,8 +62,8 @@
 type Event struct {
 	Kind   EventKind
 	Offset int64
-	// Status is the proposal after the event; empty for EventSkipped.
+	// Status is the status of the proposal after the event; empty for EventSkipped.
 	Status Status
-	// Reason says why a record was skipped.
+	// Reason is the reason why a record was skipped.
 	Reason string
 }
--- a/internal/bundle/validate.go
+++ b/internal/bundle/validate.go
@@ -5,15 +5,15 @@
 	"regexp"
 )
 
-// Bounds of what a bundle may hold.
+// Limits on the content of a bundle.
 const (
 	MaxPartners       = 16
 	MaxKeysPerPartner = 8
 	MaxPools          = 256
 	MaxWorkloads      = 1024
-	// MaxTokensBound bounds every count of tokens.
+	// MaxTokensBound limits every token count.
 	MaxTokensBound = 1 << 24
-	// shareTolerance allows for the rounding of a sum of shares.
+	// shareTolerance allows for rounding errors in a sum of shares.
 	shareTolerance = 1e-9
 )
 
@@ -22,7 +22,7 @@
 	modelNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_./-]{0,126}$`)
 )
 
-// Validate checks a bundle that was not decoded from a document. The error is an *Invalid without lines.
+// Validate checks a bundle that was not decoded from a document. The error is an *Invalid without line numbers.
 func Validate(b *Bundle) error {
 	found := &problems{}
 	validate(b, found)
@@ -123,7 +123,7 @@
 		found.add(path+".limits.max_in_flight", "must not be negative")
 	}
 	queuePath := path + ".limits.max_queue"
-	if limits.MaxQueue < 0 || (limits.MaxQueue == 0 && found.written(queuePath)) {
+	if limits.MaxQueue < 0 || (limits.MaxQueue == 0 && found.hasKey(queuePath)) {
 		found.add(queuePath, "must be above 0; leave it out for no bound")
 	}
 }
@@ -142,8 +142,8 @@
 	if workload.Limits.MaxStepSamples <= 0 {
 		found.add(path+".limits.max_step_samples", "a training workload needs it, above 0")
 	}
-	refuse(found, path+".limits.timeout", workload.Limits.Timeout != 0, Interactive)
-	refuse(found, path+".limits.retry_ratio", workload.Limits.RetryRatio != 0, Interactive)
+	checkAbsent(found, path+".limits.timeout", workload.Limits.Timeout != 0, Interactive)
+	checkAbsent(found, path+".limits.retry_ratio", workload.Limits.RetryRatio != 0, Interactive)
 }
 
 func validateStaleness(staleness *Staleness, path string, found *problems) {
@@ -170,18 +170,18 @@
 }
 
 func validateInteractive(workload *Workload, path string, found *problems) {
-	refuse(found, path+".staleness", workload.Staleness != nil, Training)
-	refuse(found, path+".objective", workload.Objective != nil, Training)
-	refuse(found, path+".swap", workload.Swap != "", Training)
-	refuse(found, path+".scorer", workload.Scorer != "", Training)
-	refuse(found, path+".limits.max_step_samples", workload.Limits.MaxStepSamples != 0, Training)
+	checkAbsent(found, path+".staleness", workload.Staleness != nil, Training)
+	checkAbsent(found, path+".objective", workload.Objective != nil, Training)
+	checkAbsent(found, path+".swap", workload.Swap != "", Training)
+	checkAbsent(found, path+".scorer", workload.Scorer != "", Training)
+	checkAbsent(found, path+".limits.max_step_samples", workload.Limits.MaxStepSamples != 0, Training)
 	if workload.Limits.Timeout <= 0 {
 		found.add(path+".limits.timeout", "an interactive workload needs it, above 0")
 	}
 	checkRatio(found, path+".limits.retry_ratio", workload.Limits.RetryRatio)
 }
 
-// validateShares checks that no pool is promised more than once over.
+// validateShares checks that the shares of each pool add up to at most 1.
 func validateShares(b *Bundle, found *problems) {
 	for i, pool := range b.Pools {
 		total := 0.0
@@ -231,12 +231,12 @@
 	names[name] = true
 }
 
-func checkLength(found *problems, path string, length, most int) {
+func checkLength(found *problems, path string, length, limit int) {
 	if length == 0 {
 		found.add(path, "must not be empty")
 	}
-	if length > most {
-		found.add(path, "has %d items; at most %d are allowed", length, most)
+	if length > limit {
+		found.add(path, "has %d items; at most %d are allowed", length, limit)
 	}
 }
 
@@ -252,7 +252,8 @@
 	}
 }
 
-func refuse(found *problems, path string, present bool, kind Kind) {
+// checkAbsent records a problem if a key is present that is only allowed for workloads of the given kind.
+func checkAbsent(found *problems, path string, present bool, kind Kind) {
 	if present {
 		found.add(path, "is for %s workloads only", kind)
 	}
