--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -10,17 +10,18 @@
 	"github.com/hillfork/hillfork/internal/network"
 )
 
-// ErrClosed says that the client or server was closed by its own process.
+// ErrClosed reports that this process has closed the client or server.
 var ErrClosed = errors.New("peer is closed")
 
-// errUnusable says that a connection takes no new calls.
-var errUnusable = errors.New("connection takes no new calls")
+// errUnusable reports that a connection accepts no new calls.
+var errUnusable = errors.New("connection accepts no new calls")
 
-// beginAttempts is how many connections a call tries to enter; each but the last was found closed before the call was
-// queued on it.
-const beginAttempts = 3
+// maxConnectionAttempts is the maximum number of connections on which a call tries to register. The client uses another
+// connection only if the previous one was closed before the call was queued on it.
+const maxConnectionAttempts = 3
 
-// Client calls other processes, over one connection to each address, dialed when needed. It is safe for concurrent use.
+// Client calls other processes over one connection per address, which it dials on demand. It is safe for concurrent
+// use.
 type Client struct {
 	network  network.Network
 	options  ClientOptions
@@ -34,10 +35,10 @@
 	slots  map[string]*slot
 }
 
-// slot is the connection to one address, or the attempt to make it.
+// slot holds the connection to one address, or the attempt to establish it.
 type slot struct {
 	address string
-	// ready is closed when connection or err is set.
+	// ready is closed once connection or err is set.
 	ready      chan struct{}
 	connection *clientConnection
 	err        error
@@ -57,7 +58,7 @@
 	}
 }
 
-// Stats tells what the client met so far.
+// Stats returns the client's counters since its start.
 func (c *Client) Stats() Stats { return c.counters.snapshot() }
 
 // Close closes all connections, fails the outstanding calls and waits until the client's goroutines have ended.
@@ -96,8 +97,8 @@
 	return call.wait(ctx, response)
 }
 
-// Stream implements Caller. It returns when the request is queued; a connection that breaks shows in Receive, with the
-// same errors as Call's. The context must end or the stream be closed for its resources to be freed.
+// Stream implements Caller. It returns once the request is queued. If the connection breaks, Receive returns the same
+// errors as Call does. To free the stream's resources, the context must end or the stream must be closed.
 func (c *Client) Stream(ctx context.Context, address, method string, request Message) (ClientStream, error) {
 	stream := newClientStream(ctx, method, int64(c.options.WindowBytes))
 	connection, err := c.begin(ctx, address, stream)
@@ -112,24 +113,24 @@
 	return stream, nil
 }
 
-// begin enters the call on a usable connection to the address.
+// begin registers the call on a usable connection to the address.
 func (c *Client) begin(ctx context.Context, address string, call outstandingCall) (*clientConnection, error) {
 	err := errUnusable
-	for range beginAttempts {
-		var entered *slot
-		entered, err = c.connect(ctx, address)
+	for range maxConnectionAttempts {
+		var target *slot
+		target, err = c.connect(ctx, address)
 		if err != nil {
 			break
 		}
-		if err = entered.connection.begin(call); err == nil {
-			return entered.connection, nil
+		if err = target.connection.begin(call); err == nil {
+			return target.connection, nil
 		}
-		c.forget(entered)
+		c.forget(target)
 	}
 	return nil, fmt.Errorf("%w to %s: %w", ErrNotSent, address, err)
 }
 
-// connect returns the slot of an established connection, dialing if there is none.
+// connect returns the slot of an established connection. It dials if there is none.
 func (c *Client) connect(ctx context.Context, address string) (*slot, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -161,7 +162,8 @@
 	return found, nil
 }
 
-// dial fills the slot. It does not depend on the context of the call that asked first, since others wait for it too.
+// dial fills the slot. It does not use the context of the call that requested the connection first, because other calls
+// wait for the same connection.
 func (c *Client) dial(into *slot) {
 	ctx, cancel := context.WithTimeout(c.context, c.options.DialTimeout)
 	defer cancel()
@@ -186,7 +188,7 @@
 	into.connection.run(&c.group, into.connection.handle)
 }
 
-// forget lets the next call dial anew.
+// forget removes the slot, so that the next call dials a new connection.
 func (c *Client) forget(old *slot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/peer/client_connection.go
+++ b/internal/peer/client_connection.go
@@ -11,56 +11,56 @@
 	"time"
 )
 
-// callState is what the connection knows of a call.
+// callState is the state of a call on its connection.
 type callState struct {
 	method string
-	// id and connection are set when the call enters a connection.
+	// id and connection are set when the call is registered on a connection.
 	id         uint64
 	connection *clientConnection
-	// written is set before the first byte of the request may leave.
+	// written is set before the first byte of the request may be sent.
 	written atomic.Bool
 }
 
-// outstandingCall receives the answers to a call; neither method may block.
+// outstandingCall receives the response frames of a call. Neither deliver nor fail may block.
 type outstandingCall interface {
 	state() *callState
-	// deliver takes over a frame; an error fails the connection.
+	// deliver takes ownership of a frame; an error fails the connection.
 	deliver(*frame) error
-	// fail ends the call without an answer.
+	// fail ends the call without a response.
 	fail(error)
 }
 
-// clientConnection is the calling end of a connection. Lock order: clientConnection.mu before keepAlive.mu and
-// frameWriter.mu; Client.mu is never taken with clientConnection.mu held.
+// clientConnection is the client end of a connection. Lock order: clientConnection.mu before keepAlive.mu and
+// frameWriter.mu; Client.mu is never acquired while clientConnection.mu is held.
 type clientConnection struct {
 	*connection
 	client *Client
 	slot   *slot
 
 	mu sync.Mutex
-	// retired says that no new call may enter.
+	// retired reports that no new call may be registered.
 	retired bool
 	lastID  uint64
-	// lastTaken is the last call that the server takes; all above have no effect.
-	lastTaken uint64
-	calls     map[uint64]outstandingCall
+	// lastAccepted is the highest ID of the calls that the server accepts; calls with a higher ID have no effect.
+	lastAccepted uint64
+	calls        map[uint64]outstandingCall
 }
 
 func newClientConnection(client *Client, slot *slot, socket net.Conn) *clientConnection {
 	options := client.options
 	c := &clientConnection{
-		connection: newConnection(socket, options.KeepAlive, options.Observer, &client.counters),
-		client:     client,
-		slot:       slot,
-		lastTaken:  math.MaxUint64,
-		calls:      make(map[uint64]outstandingCall),
+		connection:   newConnection(socket, options.KeepAlive, options.Observer, &client.counters),
+		client:       client,
+		slot:         slot,
+		lastAccepted: math.MaxUint64,
+		calls:        make(map[uint64]outstandingCall),
 	}
 	c.onClose = c.failCalls
-	c.keepAlive.idle = c.closeIdle
+	c.keepAlive.onIdle = c.closeIdle
 	return c
 }
 
-// begin enters a call, or returns errUnusable.
+// begin registers a call, or returns errUnusable.
 func (c *clientConnection) begin(call outstandingCall) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,14 +75,14 @@
 	return nil
 }
 
-// end takes a call out; frames for it that still come are dropped.
+// end unregisters a call; frames that still arrive for it are dropped.
 func (c *clientConnection) end(state *callState) {
 	if c.remove(state.id) {
 		c.fail(errUnusable)
 	}
 }
 
-// remove reports whether the connection has no further use.
+// remove removes a call and reports whether the connection is no longer needed.
 func (c *clientConnection) remove(id uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +94,7 @@
 	return c.retired && len(c.calls) == 0
 }
 
-// sendRequest queues the request. When it returns an error, no byte of it was or will be written.
+// sendRequest queues the request. If it returns an error, no byte of the request has been or will be written.
 func (c *clientConnection) sendRequest(ctx context.Context, state *callState, request Message, credit int64) error {
 	header := frameHeader{Stream: state.id, Kind: kindRequest, Credit: credit, TimeoutMillis: timeoutMillis(ctx)}
 	err := c.send(ctx, header, state.method, request, &state.written)
@@ -107,20 +107,21 @@
 	return nil
 }
 
-// timeoutMillis is what is left until the deadline, rounded up, or 0 without one.
+// timeoutMillis returns the time left until the context's deadline in milliseconds, rounded up, or 0 if there is no
+// deadline.
 func timeoutMillis(ctx context.Context) int64 {
 	deadline, set := ctx.Deadline()
 	if !set {
 		return 0
 	}
-	left := time.Until(deadline)
-	return max(1, int64((left+time.Millisecond-1)/time.Millisecond))
+	remaining := time.Until(deadline)
+	return max(1, int64((remaining+time.Millisecond-1)/time.Millisecond))
 }
 
 func (c *clientConnection) handle(received *frame) error {
 	if received.header.Kind == kindGoAway {
 		c.observer.PeerBytes(ControlMethod, 0, received.size)
-		c.goAway(received.header.Stream)
+		c.handleGoAway(received.header.Stream)
 		received.release()
 		return nil
 	}
@@ -140,19 +141,19 @@
 	return c.calls[id]
 }
 
-// goAway retires the connection; the server still answers what it has.
-func (c *clientConnection) goAway(lastTaken uint64) {
+// handleGoAway retires the connection; the server still responds to the calls it has accepted.
+func (c *clientConnection) handleGoAway(lastAccepted uint64) {
 	c.client.forget(c.slot)
-	if c.retire(lastTaken) {
+	if c.retire(lastAccepted) {
 		c.fail(errUnusable)
 	}
 }
 
-func (c *clientConnection) retire(lastTaken uint64) (unused bool) {
+func (c *clientConnection) retire(lastAccepted uint64) (unused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.retired = true
-	c.lastTaken = min(c.lastTaken, lastTaken)
+	c.lastAccepted = min(c.lastAccepted, lastAccepted)
 	return len(c.calls) == 0
 }
 
@@ -172,24 +173,24 @@
 	return true
 }
 
-// failCalls ends all calls. The writer has stopped, so a request not marked as written never leaves.
+// failCalls fails all calls. The writer has stopped, so a request that is not marked as written is never sent.
 func (c *clientConnection) failCalls(cause error) {
 	c.client.forget(c.slot)
-	calls, lastTaken := c.takeCalls()
+	calls, lastAccepted := c.removeCalls()
 	for _, call := range calls {
 		reason := ErrLost
-		if !call.state().written.Load() || call.state().id > lastTaken {
+		if !call.state().written.Load() || call.state().id > lastAccepted {
 			reason = ErrNotSent
 		}
 		call.fail(fmt.Errorf("%w: connection to %s: %w", reason, c.slot.address, cause))
 	}
 }
 
-func (c *clientConnection) takeCalls() (map[uint64]outstandingCall, uint64) {
+func (c *clientConnection) removeCalls() (map[uint64]outstandingCall, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.retired = true
-	taken := c.calls
+	removed := c.calls
 	c.calls = nil
-	return taken, c.lastTaken
+	return removed, c.lastAccepted
 }
--- a/internal/peer/client_stream.go
+++ b/internal/peer/client_stream.go
@@ -7,23 +7,24 @@
 	"sync"
 )
 
-// clientStream is the receiving end of a stream. It holds what the window lets the server send ahead, and grants more
-// as the receiver takes messages.
+// clientStream is the receiving end of a stream. It buffers the messages that the server sends ahead within the window,
+// and grants more credit as messages are received.
 type clientStream struct {
 	callState
 	context   context.Context
 	stopWatch func() bool
 	window    int64
-	// changed holds a token when there may be something to receive.
+	// changed holds a token if Receive may have a message or an end to return.
 	changed chan struct{}
 
 	mu       sync.Mutex
 	messages []*frame
-	// held is the size of messages, consumed that of received messages not yet granted again.
-	held     int64
-	consumed int64
-	// ended is what Receive returns after the messages; nil while the stream goes on.
-	ended error
+	// bufferedBytes is the size of messages; consumedBytes is the size of the received messages for which no new credit
+	// has been granted yet.
+	bufferedBytes int64
+	consumedBytes int64
+	// endErr is the error that Receive returns after the last message; nil while the stream is open.
+	endErr error
 }
 
 func newClientStream(ctx context.Context, method string, window int64) *clientStream {
@@ -37,12 +38,12 @@
 
 func (s *clientStream) state() *callState { return &s.callState }
 
-// watchContext cancels the call when its context ends.
+// watchContext cancels the call when the stream's context ends.
 func (s *clientStream) watchContext() {
 	stop := context.AfterFunc(s.context, func() { s.cancel(s.context.Err()) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended != nil {
+	if s.endErr != nil {
 		stop()
 	}
 	s.stopWatch = stop
@@ -51,34 +52,34 @@
 func (s *clientStream) deliver(received *frame) error {
 	switch received.header.Kind {
 	case kindMessage:
-		return s.hold(received)
+		return s.buffer(received)
 	case kindEnd:
 		received.release()
 		s.finish(io.EOF)
 		return nil
 	case kindError:
-		err := lostUnlessRefusal(decodeError(received.body))
+		err := refusalOrLost(decodeError(received.body))
 		received.release()
 		s.finish(err)
 		return nil
 	default:
 		received.release()
-		return fmt.Errorf("%w: frame of kind %d answers a stream", errProtocol, received.header.Kind)
+		return fmt.Errorf("%w: frame of kind %d in response to a stream", errProtocol, received.header.Kind)
 	}
 }
 
-func (s *clientStream) hold(received *frame) error {
+func (s *clientStream) buffer(received *frame) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended != nil {
+	if s.endErr != nil {
 		received.release()
 		return nil
 	}
-	if s.held >= s.window {
+	if s.bufferedBytes >= s.window {
 		received.release()
 		return fmt.Errorf("%w: stream exceeds its window", errProtocol)
 	}
-	s.held += int64(received.size)
+	s.bufferedBytes += int64(received.size)
 	s.messages = append(s.messages, received)
 	s.signal()
 	return nil
@@ -86,8 +87,8 @@
 
 func (s *clientStream) fail(err error) { s.finish(err) }
 
-// finish sets the end and frees the call; messages already here can still be received. It reports whether it was the
-// first to end the stream.
+// finish records the end of the stream and unregisters the call; messages that have already arrived can still be
+// received. It reports whether this call ended the stream.
 func (s *clientStream) finish(err error) bool {
 	if !s.markEnded(err) {
 		return false
@@ -99,10 +100,10 @@
 func (s *clientStream) markEnded(err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended != nil {
+	if s.endErr != nil {
 		return false
 	}
-	s.ended = err
+	s.endErr = err
 	if s.stopWatch != nil {
 		s.stopWatch()
 	}
@@ -110,7 +111,7 @@
 	return true
 }
 
-// signal is called with mu held.
+// signal wakes a waiting Receive. It must be called with mu held.
 func (s *clientStream) signal() {
 	select {
 	case s.changed <- struct{}{}:
@@ -123,10 +124,10 @@
 		s.connection.sendControl(frameHeader{Stream: s.id, Kind: kindCancel}, s.method)
 		s.connection.end(&s.callState)
 	}
-	s.drop()
+	s.discardMessages()
 }
 
-func (s *clientStream) drop() {
+func (s *clientStream) discardMessages() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, message := range s.messages {
@@ -163,24 +164,25 @@
 	return nil
 }
 
-// next takes the next message and tells how much credit to grant; without message and error there is none yet.
+// next removes and returns the next message and the credit to grant. If message and err are both nil, no message has
+// arrived yet.
 func (s *clientStream) next() (message *frame, grant int64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.messages) == 0 {
-		if s.ended != nil {
+		if s.endErr != nil {
 			s.signal()
 		}
-		return nil, 0, s.ended
+		return nil, 0, s.endErr
 	}
 	message = s.messages[0]
 	s.messages[0] = nil
 	s.messages = s.messages[1:]
 	size := int64(message.size)
-	s.held -= size
-	s.consumed += size
-	if s.consumed >= s.window/2 && s.ended == nil {
-		grant, s.consumed = s.consumed, 0
+	s.bufferedBytes -= size
+	s.consumedBytes += size
+	if s.consumedBytes >= s.window/2 && s.endErr == nil {
+		grant, s.consumedBytes = s.consumedBytes, 0
 	}
 	return message, grant, nil
 }
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -12,13 +12,13 @@
 
 const readBufferBytes = 16 << 10
 
-// errKeepAlive says that pings were not answered.
-var errKeepAlive = errors.New("peer answers no pings")
+// errKeepAlive reports that the peer did not respond to pings.
+var errKeepAlive = errors.New("peer does not respond to pings")
 
-// errIdle says that the connection was closed for want of calls.
+// errIdle reports that the connection was closed because it had no calls.
 var errIdle = errors.New("connection is idle")
 
-// counters are the live values of Stats.
+// counters holds the current values of Stats.
 type counters struct {
 	protocolErrors  atomic.Uint64
 	lostConnections atomic.Uint64
@@ -33,14 +33,14 @@
 	}
 }
 
-// connection is what both ends of a connection have in common: a reader, a writer and a keep-alive.
+// connection is the part that is common to both ends of a connection: a reader, a writer and a keep-alive.
 type connection struct {
 	socket    net.Conn
 	writer    *frameWriter
 	keepAlive *keepAlive
 	observer  Observer
 	counters  *counters
-	// onClose is called once, after the writer has stopped taking frames.
+	// onClose is called once, after the writer has stopped accepting frames.
 	onClose   func(cause error)
 	closeOnce sync.Once
 }
@@ -56,12 +56,13 @@
 		settings: settings,
 		created:  time.Now(),
 		ping:     func() { c.sendControl(frameHeader{Kind: kindPing}, ControlMethod) },
-		lost:     func() { c.fail(errKeepAlive) },
+		onLost:   func() { c.fail(errKeepAlive) },
 	}
 	return c
 }
 
-// run starts reader and writer; handle gets each frame but pings and pongs, must not block and owns the frame.
+// run starts the reader and the writer. handle receives, and owns, each frame except pings and pongs; it must not
+// block.
 func (c *connection) run(group *sync.WaitGroup, handle func(*frame) error) {
 	c.keepAlive.start()
 	group.Go(func() {
@@ -73,7 +74,7 @@
 }
 
 func (c *connection) readLoop(handle func(*frame) error) error {
-	reader := bufio.NewReaderSize(heardReader{c.socket, c.keepAlive}, readBufferBytes)
+	reader := bufio.NewReaderSize(activityReader{c.socket, c.keepAlive}, readBufferBytes)
 	for {
 		received, err := readFrame(reader)
 		if err != nil {
@@ -95,7 +96,7 @@
 	}
 }
 
-// send queues a frame, waiting for room; see frameWriter.enqueue.
+// send queues a frame and waits for space in the queue; see frameWriter.enqueue.
 func (c *connection) send(ctx context.Context, header frameHeader, method string, body Message, mark *atomic.Bool) error {
 	encoder := newEncoder()
 	defer encoder.release()
@@ -114,12 +115,12 @@
 	return nil
 }
 
-// sendControl queues a frame without a body at once; the method is only for the accounts.
+// sendControl queues a frame without a body and without waiting; the method is used only to attribute the bytes to it.
 func (c *connection) sendControl(header frameHeader, method string) {
 	c.sendNow(header, method, nil)
 }
 
-// sendNow queues a frame at once, or fails the connection when its queue is beyond all bounds.
+// sendNow queues a frame without waiting. It fails the connection if the queue exceeds the limit for control frames.
 func (c *connection) sendNow(header frameHeader, method string, body Message) {
 	encoder := newEncoder()
 	defer encoder.release()
@@ -131,17 +132,17 @@
 	case err == nil:
 		c.observer.PeerBytes(method, len(encoded), 0)
 	case !errors.Is(err, errQueueStopped):
-		// Not from here: the caller may hold what onClose needs.
+		// fail must run on another goroutine: the caller may hold a lock that onClose acquires.
 		go c.fail(err)
 	}
 }
 
-// fail closes the connection for a cause; only the first cause counts.
+// fail closes the connection with the given cause; only the first cause is reported.
 func (c *connection) fail(cause error) {
 	c.closeOnce.Do(func() {
 		c.writer.stop()
 		c.keepAlive.stop()
-		// The peer learns of the end from its own reads; nothing is left to do about a failing close.
+		// The peer detects the end from its own reads, so an error of Close needs no handling.
 		_ = c.socket.Close()
 		if errors.Is(cause, errProtocol) {
 			c.counters.protocolErrors.Add(1)
@@ -153,16 +154,16 @@
 	})
 }
 
-// heardReader notes that bytes arrived.
-type heardReader struct {
+// activityReader records in keepAlive when bytes arrive.
+type activityReader struct {
 	socket    net.Conn
 	keepAlive *keepAlive
 }
 
-func (r heardReader) Read(into []byte) (int, error) {
+func (r activityReader) Read(into []byte) (int, error) {
 	n, err := r.socket.Read(into)
 	if n > 0 {
-		r.keepAlive.hear()
+		r.keepAlive.recordActivity()
 	}
 	return n, err
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -17,18 +17,19 @@
 //msgp:ignore frame
 //msgp:ignore frameEncoder
 
-// MaxFrameBytes is the largest frame, header and body, that a connection carries.
+// MaxFrameBytes is the maximum size of a frame, header and body together.
 const MaxFrameBytes = 16 << 20
 
 const (
 	lengthBytes = 4
-	// readStepBytes is how much of a frame is allocated ahead of its bytes, so that a false length costs little memory.
-	readStepBytes = 64 << 10
-	// pooledBytes is the largest buffer that is kept for another frame.
-	pooledBytes = 64 << 10
+	// readChunkBytes is the minimum step in which the buffer of a frame grows while the frame is read, so that a false
+	// length allocates little memory.
+	readChunkBytes = 64 << 10
+	// maxPooledBytes is the capacity up to which a buffer is kept for reuse.
+	maxPooledBytes = 64 << 10
 )
 
-// frameKind tells what a frame is for.
+// frameKind is the type of a frame.
 type frameKind uint8
 
 const (
@@ -44,19 +45,20 @@
 	kindGoAway
 )
 
-// frameHeader starts each frame; the body is the rest of the frame.
+// frameHeader is at the start of each frame; the body is the rest of the frame.
 type frameHeader struct {
-	// Stream is the number of the call; in a go-away the last call that the server takes.
+	// Stream is the ID of the call; in a go-away frame, the ID of the last call that the server accepts.
 	Stream uint64
 	Kind   frameKind
 	Method []byte
-	// TimeoutMillis is what is left of the caller's deadline; 0 is no deadline.
+	// TimeoutMillis is the time left until the caller's deadline; 0 means no deadline.
 	TimeoutMillis int64
-	// Credit is how many more bytes of messages the receiver takes. A request for a stream carries the first grant.
+	// Credit is the number of further message bytes that the receiver accepts. A request for a stream carries the
+	// initial credit.
 	Credit int64
 }
 
-// wireError is an Error as it crosses the wire.
+// wireError is the encoding of an Error on the wire.
 type wireError struct {
 	Code            uint8
 	Message         string
@@ -64,13 +66,13 @@
 	RetryAfterNanos int64
 }
 
-// errProtocol says that the bytes of a connection are not the peer protocol.
+// errProtocol reports that the bytes received on a connection violate the peer protocol.
 var errProtocol = errors.New("peer protocol violated")
 
-// errFrameTooLarge says that a message does not fit a frame.
+// errFrameTooLarge reports that a message does not fit into a frame.
 var errFrameTooLarge = fmt.Errorf("message exceeds the largest frame of %d bytes", MaxFrameBytes)
 
-// frame is one decoded frame. Its body lies in a pooled buffer, which release gives back.
+// frame is a decoded frame. Its body is a part of a pooled buffer, which release returns to the pool.
 type frame struct {
 	header frameHeader
 	body   []byte
@@ -80,16 +82,16 @@
 
 var framePool = sync.Pool{New: func() any { return new(frame) }}
 
-// release gives the frame to the next reader; neither frame nor body may be used afterwards.
+// release returns the frame to the pool; neither the frame nor its body may be used afterwards.
 func (f *frame) release() {
-	if cap(f.buffer) > pooledBytes {
+	if cap(f.buffer) > maxPooledBytes {
 		f.buffer = nil
 	}
 	f.body = nil
 	framePool.Put(f)
 }
 
-// readFrame reads one frame. Its errors are the reader's, or wrap errProtocol.
+// readFrame reads one frame. It returns the errors of the reader unchanged, or an error that wraps errProtocol.
 func readFrame(reader *bufio.Reader) (*frame, error) {
 	var prefix [lengthBytes]byte
 	if err := readPrefix(reader, &prefix); err != nil {
@@ -126,7 +128,7 @@
 	f.buffer = f.buffer[:0]
 	for len(f.buffer) < length {
 		start := len(f.buffer)
-		step := min(length-start, max(readStepBytes, start))
+		step := min(length-start, max(readChunkBytes, start))
 		f.buffer = append(f.buffer, make([]byte, step)...)
 		if _, err := io.ReadFull(reader, f.buffer[start:]); err != nil {
 			return err
@@ -146,7 +148,7 @@
 	return nil
 }
 
-// frameEncoder builds frames in a buffer that it keeps.
+// frameEncoder encodes frames into a buffer that it reuses.
 type frameEncoder struct {
 	header frameHeader
 	buffer []byte
@@ -157,13 +159,13 @@
 func newEncoder() *frameEncoder { return encoderPool.Get().(*frameEncoder) }
 
 func (e *frameEncoder) release() {
-	if cap(e.buffer) > pooledBytes {
+	if cap(e.buffer) > maxPooledBytes {
 		e.buffer = nil
 	}
 	encoderPool.Put(e)
 }
 
-// encode returns the bytes of a frame, valid until the next encode or release; body may be nil.
+// encode returns the encoded frame, which is valid until the next encode or release. body may be nil.
 func (e *frameEncoder) encode(header frameHeader, method string, body Message) ([]byte, error) {
 	header.Method = append(e.header.Method[:0], method...)
 	e.header = header
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -19,7 +19,8 @@
 	return encoded
 }
 
-// FuzzReadFrame shows that arbitrary bytes are refused or decode to a frame that encodes to the same again.
+// FuzzReadFrame checks that arbitrary bytes are either rejected or decode to a frame that survives another round of
+// encoding and decoding.
 func FuzzReadFrame(f *testing.F) {
 	f.Add(encodeForTest(f, frameHeader{Stream: 1, Kind: kindRequest, TimeoutMillis: 5, Credit: 9}, "echo", newText("body")))
 	f.Add(encodeForTest(f, frameHeader{Kind: kindPing}, "", nil))
@@ -32,18 +33,18 @@
 		is := is.New(t)
 		body := msgp.Raw(decoded.body)
 		encoded := encodeForTest(t, decoded.header, string(decoded.header.Method), &body)
-		again, err := readFrame(bufio.NewReader(bytes.NewReader(encoded)))
+		reread, err := readFrame(bufio.NewReader(bytes.NewReader(encoded)))
 		is.NoErr(err)
-		is.True(bytes.Equal(again.header.Method, decoded.header.Method)) // nil or empty, as the pool has it
-		again.header.Method, decoded.header.Method = nil, nil
-		is.Equal(again.header, decoded.header)
-		if len(decoded.body) > 0 { // msgp.Raw writes nil for no body
-			is.Equal(again.body, decoded.body)
+		is.True(bytes.Equal(reread.header.Method, decoded.header.Method)) // nil or empty, depending on the pooled frame
+		reread.header.Method, decoded.header.Method = nil, nil
+		is.Equal(reread.header, decoded.header)
+		if len(decoded.body) > 0 { // msgp.Raw encodes an empty body as nil
+			is.Equal(reread.body, decoded.body)
 		}
 	})
 }
 
-func TestReadFrameRefusals(t *testing.T) {
+func TestReadFrameRejectsInvalidFrames(t *testing.T) {
 	for name, data := range map[string][]byte{
 		"too long":        {0x01, 0, 0, 1},
 		"no header":       {0, 0, 0, 0},
--- a/internal/peer/keepalive.go
+++ b/internal/peer/keepalive.go
@@ -6,40 +6,41 @@
 	"time"
 )
 
-// keepAlive watches one connection. While calls are outstanding and nothing is heard it pings, and after too many pings
-// without an answer it declares the connection lost. Without calls it declares the connection idle after a while.
+// keepAlive monitors one connection. While calls are outstanding and no bytes arrive, it sends pings; after too many
+// pings without a response, it reports the connection as lost. If there are no calls for the idle timeout, it reports
+// the connection as idle.
 type keepAlive struct {
 	settings KeepAlive
-	// created is the origin of heardAt.
+	// created is the time that lastActivity is relative to.
 	created time.Time
-	// heardAt is when bytes arrived last, in nanoseconds since created; the reader sets it.
-	heardAt atomic.Int64
-	ping    func()
-	lost    func()
-	idle    func()
+	// lastActivity is the time at which bytes last arrived, in nanoseconds since created; the reader sets it.
+	lastActivity atomic.Int64
+	ping         func()
+	onLost       func()
+	onIdle       func()
 
 	mu          sync.Mutex
 	timer       *time.Timer
 	stopped     bool
 	outstanding int
-	// missed counts the pings since anything was heard, pingedAt is when the last one was sent.
-	missed    int
-	pingedAt  time.Time
-	idleSince time.Time
-	// waitsForIdle says that the timer runs for the idle time, not for the ping interval.
-	waitsForIdle bool
+	// missedPings is the number of pings sent since bytes last arrived; pingedAt is the time of the last ping.
+	missedPings int
+	pingedAt    time.Time
+	idleSince   time.Time
+	// idleTimer reports that the timer runs for the idle timeout and not for the ping interval.
+	idleTimer bool
 }
 
-// hear notes that bytes arrived.
-func (k *keepAlive) hear() {
-	k.heardAt.Store(int64(time.Since(k.created)))
+// recordActivity records that bytes arrived.
+func (k *keepAlive) recordActivity() {
+	k.lastActivity.Store(int64(time.Since(k.created)))
 }
 
 func (k *keepAlive) start() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.idleSince = time.Now()
-	k.waitsForIdle = true
+	k.idleTimer = true
 	k.timer = time.AfterFunc(k.settings.IdleTimeout, k.tick)
 }
 
@@ -57,8 +58,8 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.outstanding++
-	if k.waitsForIdle && !k.stopped {
-		k.waitsForIdle = false
+	if k.idleTimer && !k.stopped {
+		k.idleTimer = false
 		k.timer.Reset(k.settings.Interval)
 	}
 }
@@ -74,47 +75,47 @@
 }
 
 func (k *keepAlive) tick() {
-	if act := k.decide(); act != nil {
-		act()
+	if action := k.nextAction(); action != nil {
+		action()
 	}
 }
 
-// decide sets the next tick and returns what is to be done now.
-func (k *keepAlive) decide() func() {
+// nextAction schedules the next tick and returns the function to call now, or nil.
+func (k *keepAlive) nextAction() func() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.stopped {
 		return nil
 	}
 	if k.outstanding == 0 {
-		return k.decideIdle()
+		return k.nextIdleAction()
 	}
-	k.waitsForIdle = false
-	heardAt := k.created.Add(time.Duration(k.heardAt.Load()))
-	if heardAt.After(k.pingedAt) {
-		k.missed = 0
+	k.idleTimer = false
+	lastActivity := k.created.Add(time.Duration(k.lastActivity.Load()))
+	if lastActivity.After(k.pingedAt) {
+		k.missedPings = 0
 	}
-	if left := k.settings.Interval - time.Since(heardAt); left > 0 {
-		k.timer.Reset(left)
+	if remaining := k.settings.Interval - time.Since(lastActivity); remaining > 0 {
+		k.timer.Reset(remaining)
 		return nil
 	}
 	k.timer.Reset(k.settings.Interval)
-	if k.missed >= k.settings.Misses {
-		return k.lost
+	if k.missedPings >= k.settings.Misses {
+		return k.onLost
 	}
-	k.missed++
+	k.missedPings++
 	k.pingedAt = time.Now()
 	return k.ping
 }
 
-func (k *keepAlive) decideIdle() func() {
-	k.missed = 0
-	k.waitsForIdle = true
-	left := k.settings.IdleTimeout - time.Since(k.idleSince)
-	if left <= 0 {
+func (k *keepAlive) nextIdleAction() func() {
+	k.missedPings = 0
+	k.idleTimer = true
+	remaining := k.settings.IdleTimeout - time.Since(k.idleSince)
+	if remaining <= 0 {
 		k.timer.Reset(k.settings.IdleTimeout)
-		return k.idle
+		return k.onIdle
 	}
-	k.timer.Reset(left)
+	k.timer.Reset(remaining)
 	return nil
 }
--- a/internal/peer/loopback_test.go
+++ b/internal/peer/loopback_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/goleak"
 )
 
-// text is the message of these tests.
+// text is the message type of these tests.
 type text struct{ value wireError }
 
 func newText(value string) *text { return &text{wireError{Message: value}} }
@@ -29,7 +29,7 @@
 	return &request, nil
 }
 
-// count answers with as many messages as the request says.
+// count sends as many messages as the request specifies.
 func count(_ context.Context, decode Decode, stream ServerStream) error {
 	var request text
 	if err := decode(&request); err != nil {
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// startLoopback serves over real sockets until the test ends and returns the address.
+// startLoopback starts a server and a client over real sockets until the test ends and returns them with the server's
+// address.
 func startLoopback(t testing.TB) (*Client, *Server, string) {
 	server := NewServer(ServerOptions{})
 	server.HandleUnary("echo", echo)
@@ -81,10 +82,10 @@
 	server.mu.Lock()
 	connections := len(server.connections)
 	server.mu.Unlock()
-	is.Equal(connections, 1) // one connection for all calls
+	is.Equal(connections, 1) // all calls share one connection
 	is.NoErr(server.Shutdown(t.Context()))
 	err := client.Call(t.Context(), address, "echo", newText(""), &text{})
-	is.True(errors.Is(err, ErrNotSent)) // nobody listens any more
+	is.True(errors.Is(err, ErrNotSent)) // the server no longer listens
 }
 
 func callAndCount(t *testing.T, client *Client, address, value string) {
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -20,51 +20,51 @@
 	DefaultRetryAfter        = 100 * time.Millisecond
 )
 
-// ControlMethod stands in for the method where a frame belongs to the connection and not to a call.
+// ControlMethod is the method reported for a frame that belongs to the connection and not to a call.
 const ControlMethod = "peer.control"
 
-// Observer is told the size of every frame, so that the bytes of each mechanism can be counted. It must be safe for
+// Observer receives the size of every frame, so that the bytes of each method can be counted. It must be safe for
 // concurrent use and must not block.
 type Observer interface {
 	PeerBytes(method string, sent, received int)
 }
 
-// KeepAlive sets when a connection counts as lost or idle. A connection on which calls are outstanding and nothing is
-// heard is lost after (Misses+1) × Interval at most.
+// KeepAlive configures when a connection is treated as lost or idle. A connection with outstanding calls on which no
+// bytes arrive is lost after at most (Misses+1) × Interval.
 type KeepAlive struct {
 	Interval    time.Duration
 	Misses      int
 	IdleTimeout time.Duration
 }
 
-// ClientOptions configures a Client; zero values take the defaults.
+// ClientOptions configures a Client; zero values select the defaults.
 type ClientOptions struct {
 	KeepAlive   KeepAlive
 	DialTimeout time.Duration
-	// WindowBytes is how many bytes of messages a stream's server may send ahead of the receiver.
+	// WindowBytes is the maximum number of message bytes that the server of a stream may send ahead of the receiver.
 	WindowBytes int
 	Observer    Observer
 	Logger      *log.Logger
 }
 
-// ServerOptions configures a Server; zero values take the defaults.
+// ServerOptions configures a Server; zero values select the defaults.
 type ServerOptions struct {
 	KeepAlive KeepAlive
-	// MaxInFlight is how many calls run at once; further ones are refused with CodeOverloaded.
+	// MaxInFlight is the maximum number of concurrent calls; further calls are refused with CodeOverloaded.
 	MaxInFlight int
-	// RetryAfter is told to callers that are refused.
+	// RetryAfter is the delay sent to callers that are refused with CodeOverloaded.
 	RetryAfter time.Duration
 	Observer   Observer
 	Logger     *log.Logger
 }
 
-// Stats counts what a client or server met since its start.
+// Stats holds the counters of a client or server since its start.
 type Stats struct {
-	// ProtocolErrors counts connections closed because their bytes were not the peer protocol.
+	// ProtocolErrors counts connections closed because the received bytes violated the peer protocol.
 	ProtocolErrors uint64
-	// LostConnections counts connections closed because pings were not answered.
+	// LostConnections counts connections closed because the peer did not respond to pings.
 	LostConnections uint64
-	// Overloaded counts calls refused at the limit of calls in flight.
+	// Overloaded counts calls refused because the limit of calls in flight was reached.
 	Overloaded uint64
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,68 +21,68 @@
 	clientIP = "10.0.0.1"
 	serverIP = "10.0.1.1"
 	address  = serverIP + ":7000"
-	// bound is when a call over a dead connection must have failed.
-	bound = (DefaultPingMisses + 1) * DefaultPingInterval
+	// maxLossDetection is the time within which a call over a dead connection must have failed.
+	maxLossDetection = (DefaultPingMisses + 1) * DefaultPingInterval
 )
 
-// accounts is an Observer that sums up by method.
-type accounts struct {
+// byteCounts is an Observer that sums the bytes by method.
+type byteCounts struct {
 	mu             sync.Mutex
 	sent, received map[string]int
 }
 
-func newAccounts() *accounts {
-	return &accounts{sent: make(map[string]int), received: make(map[string]int)}
+func newByteCounts() *byteCounts {
+	return &byteCounts{sent: make(map[string]int), received: make(map[string]int)}
 }
 
-func (a *accounts) PeerBytes(method string, sent, received int) {
+func (a *byteCounts) PeerBytes(method string, sent, received int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sent[method] += sent
 	a.received[method] += received
 }
 
-func (a *accounts) of(method string) (sent, received int) {
+func (a *byteCounts) of(method string) (sent, received int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.sent[method], a.received[method]
 }
 
-// fixture is a client and a server in virtual time. The method "work" runs until released or its context ends.
+// fixture is a client and a server in virtual time. The method "work" runs until release is closed or its context ends.
 type fixture struct {
-	t              *testing.T
-	is             *is.I
-	network        *simnet.Network
-	host           network.Network
-	client         *Client
-	server         *Server
-	clientAccounts *accounts
-	serverAccounts *accounts
-	// release lets all work finish; started and ended get a token for each.
+	t           *testing.T
+	is          *is.I
+	network     *simnet.Network
+	host        network.Network
+	client      *Client
+	server      *Server
+	clientBytes *byteCounts
+	serverBytes *byteCounts
+	// release is closed to complete all calls of "work"; each call sends to started and to ended.
 	release chan struct{}
 	started chan struct{}
 	ended   chan error
 }
 
-// run tests in virtual time over a network whose streams buffer 100 kB.
+// run runs a test in virtual time over a network whose streams buffer 100 kB.
 func run(t *testing.T, name string, options ServerOptions, test func(f *fixture)) {
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fixture{
-				t:              t,
-				is:             is.New(t),
-				network:        simnet.New(simnet.Options{BufferBytes: 100_000}),
-				clientAccounts: newAccounts(),
-				serverAccounts: newAccounts(),
-				release:        make(chan struct{}),
-				started:        make(chan struct{}, 1000),
-				ended:          make(chan error, 1000),
+				t:           t,
+				is:          is.New(t),
+				network:     simnet.New(simnet.Options{BufferBytes: 100_000}),
+				clientBytes: newByteCounts(),
+				serverBytes: newByteCounts(),
+				release:     make(chan struct{}),
+				started:     make(chan struct{}, 1000),
+				ended:       make(chan error, 1000),
 			}
 			f.host = f.network.Host(clientIP, "a", "r")
-			options.Observer = f.serverAccounts
+			options.Observer = f.serverBytes
 			f.server = NewServer(options)
 			f.serve(f.server, f.network.Host(serverIP, "b", "r"))
-			f.client = NewClient(f.host, ClientOptions{Observer: f.clientAccounts})
+			f.client = NewClient(f.host, ClientOptions{Observer: f.clientBytes})
 			defer f.stop()
 			test(f)
 		})
@@ -119,12 +119,12 @@
 	var response text
 	err := f.client.Call(ctx, address, method, newText(value), &response)
 	if err == nil && response.value.Message != value {
-		return errors.New("answer of another call")
+		return errors.New("response of another call")
 	}
 	return err
 }
 
-// start calls in the background.
+// start makes a call in the background.
 func (f *fixture) start(ctx context.Context, method, value string) <-chan error {
 	done := make(chan error, 1)
 	go func() { done <- f.call(ctx, method, value) }()
@@ -146,9 +146,9 @@
 }
 
 func TestCalls(t *testing.T) {
-	run(t, "refusals cross whole", ServerOptions{MaxInFlight: 1, RetryAfter: time.Minute}, func(f *fixture) {
+	run(t, "refusals keep all fields", ServerOptions{MaxInFlight: 1, RetryAfter: time.Minute}, func(f *fixture) {
 		f.refusal(f.call(f.t.Context(), "nothing", ""), CodeUnknownMethod)
-		f.refusal(f.call(f.t.Context(), "count", "1"), CodeInvalid) // a stream called as unary
+		f.refusal(f.call(f.t.Context(), "count", "1"), CodeInvalid) // a stream method called as a unary one
 		stream, err := f.client.Stream(f.t.Context(), address, "count", newText("no number"))
 		f.is.NoErr(err)
 		f.refusal(stream.Receive(&text{}), CodeInvalid)
@@ -163,9 +163,9 @@
 	})
 	run(t, "both ends count the same bytes", ServerOptions{}, func(f *fixture) {
 		f.is.NoErr(f.call(f.t.Context(), "echo", "abc"))
-		sent, received := f.clientAccounts.of("echo")
+		sent, received := f.clientBytes.of("echo")
 		f.is.True(sent > 0 && received > 0)
-		serverSent, serverReceived := f.serverAccounts.of("echo")
+		serverSent, serverReceived := f.serverBytes.of("echo")
 		f.is.Equal(sent, serverReceived)
 		f.is.Equal(received, serverSent)
 		f.is.Equal(f.network.Traffic(clientIP).StreamBytesSent, uint64(sent))
@@ -180,19 +180,19 @@
 		defer cancel()
 		start := time.Now()
 		done = f.startWork(ctx)
-		f.network.Apply(simnet.Rule{From: simnet.ByIP(clientIP), To: simnet.Everywhere, Cut: true}) // no cancel arrives
+		f.network.Apply(simnet.Rule{From: simnet.ByIP(clientIP), To: simnet.Everywhere, Cut: true}) // no cancel frame arrives
 		f.is.Equal(<-done, context.DeadlineExceeded)
 		f.is.Equal(<-f.ended, context.DeadlineExceeded)
 		f.is.True(time.Since(start) < time.Second+10*time.Millisecond)
 	})
-	run(t, "long calls outlive the keep-alive, idle connections do not stay", ServerOptions{}, func(f *fixture) {
+	run(t, "long calls stay connected, idle connections are closed", ServerOptions{}, func(f *fixture) {
 		done := f.startWork(f.t.Context())
 		time.Sleep(time.Hour)
 		close(f.release)
 		f.is.NoErr(<-done)
 		before := f.network.Traffic(clientIP).StreamBytesSent
 		time.Sleep(2 * DefaultClientIdleTimeout)
-		f.is.Equal(f.network.Traffic(clientIP).StreamBytesSent, before) // no pings at rest
+		f.is.Equal(f.network.Traffic(clientIP).StreamBytesSent, before) // no pings on an idle connection
 		f.server.mu.Lock()
 		connections := len(f.server.connections)
 		f.server.mu.Unlock()
@@ -202,12 +202,12 @@
 }
 
 func TestStreams(t *testing.T) {
-	run(t, "a slow receiver is held back and blocks nobody", ServerOptions{}, func(f *fixture) {
+	run(t, "a slow receiver stops its sender and does not block other calls", ServerOptions{}, func(f *fixture) {
 		const messages = 100_000
 		stream, err := f.client.Stream(f.t.Context(), address, "count", newText(strconv.Itoa(messages)))
 		f.is.NoErr(err)
 		time.Sleep(time.Minute)
-		sent, _ := f.serverAccounts.of("count")
+		sent, _ := f.serverBytes.of("count")
 		f.is.True(sent >= DefaultWindowBytes && sent < DefaultWindowBytes+100)
 		f.is.NoErr(f.call(f.t.Context(), "echo", "not blocked"))
 		var message text
@@ -216,7 +216,7 @@
 			f.is.Equal(message.value.Message, strconv.Itoa(i))
 		}
 		f.is.Equal(stream.Receive(&message), io.EOF)
-		f.is.Equal(stream.Receive(&message), io.EOF) // and stays so
+		f.is.Equal(stream.Receive(&message), io.EOF) // further calls return the same
 	})
 	run(t, "a message larger than the window passes", ServerOptions{}, func(f *fixture) {
 		f.server.handlers["large"] = &handlerEntry{method: "large", stream: func(_ context.Context, _ Decode, s ServerStream) error {
@@ -238,7 +238,7 @@
 		"close":   func(stream ClientStream, _ context.CancelFunc) { _ = stream.Close() },
 		"context": func(_ ClientStream, cancel context.CancelFunc) { cancel() },
 	} {
-		run(t, "the sender learns that the receiver left by "+name, ServerOptions{}, func(f *fixture) {
+		run(t, "the sender is canceled when the receiver leaves by "+name, ServerOptions{}, func(f *fixture) {
 			ctx, cancel := context.WithCancel(f.t.Context())
 			defer cancel()
 			stream, err := f.client.Stream(ctx, address, "count", newText("1000000000"))
@@ -252,7 +252,7 @@
 	}
 }
 
-func TestLostContact(t *testing.T) {
+func TestConnectionLoss(t *testing.T) {
 	run(t, "half-open connection", ServerOptions{}, func(f *fixture) {
 		done := f.startWork(f.t.Context())
 		stream, err := f.client.Stream(f.t.Context(), address, "count", newText("1000000000"))
@@ -260,14 +260,14 @@
 		heal := f.network.Partition(simnet.ByIP(clientIP), simnet.ByIP(serverIP))
 		start := time.Now()
 		f.is.True(errors.Is(<-done, ErrLost))
-		f.is.True(time.Since(start) <= bound)
-		f.is.Equal(<-f.ended, context.Canceled) // the server notices too
-		f.is.True(time.Since(start) <= bound)
+		f.is.True(time.Since(start) <= maxLossDetection)
+		f.is.Equal(<-f.ended, context.Canceled) // the server detects the loss as well
+		f.is.True(time.Since(start) <= maxLossDetection)
 		for err = nil; err == nil; {
 			err = stream.Receive(&text{})
 		}
 		f.is.True(errors.Is(err, ErrLost))
-		f.is.True(errors.Is(f.call(f.t.Context(), "echo", ""), ErrNotSent)) // no dial gets through
+		f.is.True(errors.Is(f.call(f.t.Context(), "echo", ""), ErrNotSent)) // dialing fails during the partition
 		f.is.Equal(f.client.Stats().LostConnections, uint64(1))
 		heal()
 		f.is.NoErr(f.call(f.t.Context(), "echo", "healed"))
@@ -280,23 +280,23 @@
 		close(f.release)
 		f.is.NoErr(<-done)
 	})
-	run(t, "only what may have left is lost", ServerOptions{}, func(f *fixture) {
+	run(t, "only a request that may have been sent is lost", ServerOptions{}, func(f *fixture) {
 		f.is.NoErr(f.call(f.t.Context(), "echo", ""))
 		f.network.Pause(serverIP)
-		written := f.start(f.t.Context(), "echo", strings.Repeat("x", 200_000)) // more than the network buffers
+		written := f.start(f.t.Context(), "echo", strings.Repeat("x", 200_000)) // exceeds the network's buffer
 		synctest.Wait()
 		queued := f.start(f.t.Context(), "echo", "")
 		synctest.Wait()
 		f.network.Crash(serverIP)
 		f.is.True(errors.Is(<-written, ErrLost))
 		f.is.True(errors.Is(<-queued, ErrNotSent))
-		f.is.True(errors.Is(f.call(f.t.Context(), "echo", ""), ErrNotSent)) // refused
+		f.is.True(errors.Is(f.call(f.t.Context(), "echo", ""), ErrNotSent)) // the connection is refused
 	})
-	run(t, "a call that gets no room in the queue is not sent", ServerOptions{}, func(f *fixture) {
+	run(t, "a call that gets no space in the queue is not sent", ServerOptions{}, func(f *fixture) {
 		f.is.NoErr(f.call(f.t.Context(), "echo", ""))
 		f.network.Pause(serverIP)
-		for range 2 { // one is being written, one fills the queue
-			f.start(f.t.Context(), "echo", strings.Repeat("x", queueBytes))
+		for range 2 { // one request is being written, one fills the queue
+			f.start(f.t.Context(), "echo", strings.Repeat("x", maxQueueBytes))
 			synctest.Wait()
 		}
 		ctx, cancel := context.WithTimeout(f.t.Context(), time.Second)
@@ -307,16 +307,16 @@
 		f.network.Resume(serverIP)
 	})
 	run(t, "a call above the go-away had no effect", ServerOptions{}, func(f *fixture) {
-		taken := f.startWork(f.t.Context())
+		accepted := f.startWork(f.t.Context())
 		go func() { _ = f.server.Shutdown(f.t.Context()) }()
 		synctest.Wait()
 		late := f.start(f.t.Context(), "echo", "")
 		synctest.Wait()
-		f.network.Crash(serverIP) // the go-away is on its way, the late call never arrives
-		f.is.True(errors.Is(<-taken, ErrLost))
+		f.network.Crash(serverIP) // the go-away is in transit; the late call never arrives
+		f.is.True(errors.Is(<-accepted, ErrLost))
 		f.is.True(errors.Is(<-late, ErrNotSent))
 	})
-	run(t, "own close", ServerOptions{}, func(f *fixture) {
+	run(t, "client close", ServerOptions{}, func(f *fixture) {
 		done := f.startWork(f.t.Context())
 		f.client.Close()
 		f.is.True(errors.Is(<-done, ErrLost))
@@ -325,7 +325,7 @@
 }
 
 func TestShutdown(t *testing.T) {
-	run(t, "calls in flight end, late ones are refused", ServerOptions{}, func(f *fixture) {
+	run(t, "calls in flight complete, late calls are refused", ServerOptions{}, func(f *fixture) {
 		idle := NewClient(f.host, ClientOptions{})
 		defer idle.Close()
 		f.is.NoErr(idle.Call(f.t.Context(), address, "echo", newText(""), &text{}))
@@ -333,16 +333,16 @@
 		stopped := make(chan error, 1)
 		go func() { stopped <- f.server.Shutdown(f.t.Context()) }()
 		synctest.Wait()
-		f.refusal(f.call(f.t.Context(), "echo", ""), CodeNotReady)          // crosses the go-away
-		f.is.True(errors.Is(f.call(f.t.Context(), "echo", ""), ErrNotSent)) // dials anew
+		f.refusal(f.call(f.t.Context(), "echo", ""), CodeNotReady)          // sent before the go-away arrives
+		f.is.True(errors.Is(f.call(f.t.Context(), "echo", ""), ErrNotSent)) // dials a new connection
 		time.Sleep(time.Hour)
 		close(f.release)
 		released := time.Now()
 		f.is.NoErr(<-done)
 		f.is.NoErr(<-stopped)
-		f.is.True(time.Since(released) < 10*time.Millisecond) // clients close without the linger
+		f.is.True(time.Since(released) < 10*time.Millisecond) // clients close without waiting for shutdownLinger
 	})
-	run(t, "the context limits it and close cuts off", ServerOptions{}, func(f *fixture) {
+	run(t, "the context limits Shutdown and Close cuts off calls", ServerOptions{}, func(f *fixture) {
 		done := f.startWork(f.t.Context())
 		ctx, cancel := context.WithTimeout(f.t.Context(), time.Minute)
 		defer cancel()
@@ -354,8 +354,8 @@
 	})
 }
 
-func TestGarbage(t *testing.T) {
-	run(t, "closes its connection only", ServerOptions{}, func(f *fixture) {
+func TestInvalidBytes(t *testing.T) {
+	run(t, "from a client closes only its connection", ServerOptions{}, func(f *fixture) {
 		done := f.startWork(f.t.Context())
 		random := rand.New(rand.NewPCG(1, 1))
 		inputs := [][]byte{
@@ -370,7 +370,7 @@
 			_, err = socket.Write(input)
 			f.is.NoErr(err)
 			_, err = io.Copy(io.Discard, socket)
-			f.is.NoErr(err) // closed by the server
+			f.is.NoErr(err) // the server closes the connection
 			f.is.NoErr(socket.Close())
 		}
 		f.is.Equal(f.server.Stats().ProtocolErrors, uint64(len(inputs)))
@@ -393,15 +393,16 @@
 	})
 }
 
-// TestWindowIsEnforced shows that a server that ignores the window cannot make the receiver hold more than it granted,
-// whether it writes as fast as the network takes it or waits until each message has arrived.
+// TestWindowIsEnforced checks that a server that ignores the window cannot make the receiver buffer more than the
+// granted credit, whether the server writes as fast as the network allows or pauses after each message until it has
+// arrived.
 func TestWindowIsEnforced(t *testing.T) {
 	for name, pause := range map[string]time.Duration{"flood": 0, "paced": 10 * time.Millisecond} {
 		run(t, name, ServerOptions{}, func(f *fixture) { floodStream(f, pause) })
 	}
 }
 
-// floodStream answers a stream with more than its window, with a pause after each message.
+// floodStream sends more than the window on a stream, with a pause after each message.
 func floodStream(f *fixture, pause time.Duration) {
 	listener, err := f.host.Listen(clientIP + ":1")
 	f.is.NoErr(err)
@@ -409,7 +410,7 @@
 	flooded := make(chan int, 1)
 	go func() {
 		socket, _ := listener.Accept()
-		// The stream has to exist: what comes for an unknown one is dropped and fills no window.
+		// Wait until the stream exists: messages for an unknown stream are dropped and do not count against a window.
 		_, _ = socket.Read(make([]byte, 1))
 		sent := 0
 		for err := error(nil); err == nil && sent < 8*DefaultWindowBytes; time.Sleep(pause) {
@@ -422,7 +423,7 @@
 	_, err = f.client.Stream(f.t.Context(), clientIP+":1", "count", newText(""))
 	f.is.NoErr(err)
 	sent := <-flooded
-	_, received := f.clientAccounts.of("count")
+	_, received := f.clientBytes.of("count")
 	f.is.True(received >= DefaultWindowBytes && received <= DefaultWindowBytes+2*len(message))
 	if pause > 0 {
 		f.is.True(sent <= DefaultWindowBytes+3*len(message))
@@ -430,13 +431,13 @@
 	f.is.Equal(f.client.Stats().ProtocolErrors, uint64(1))
 }
 
-// TestNotRunIsTrue crashes, pauses, partitions and shuts servers down under load: no call that is said to have had no
-// effect may have reached a handler.
-func TestNotRunIsTrue(t *testing.T) {
+// TestCallsReportedNotRunNeverReachHandlers crashes, pauses, partitions and shuts down servers under load: no call that
+// is reported as having had no effect may have reached a handler.
+func TestCallsReportedNotRunNeverReachHandlers(t *testing.T) {
 	outcomes := make(map[string]int)
 	for seed := range uint64(20) {
 		run(t, strconv.FormatUint(seed, 10), ServerOptions{MaxInFlight: 20}, func(f *fixture) {
-			searchNotRun(f, seed, outcomes)
+			checkNotRunCalls(f, seed, outcomes)
 		})
 	}
 	t.Log(outcomes)
@@ -446,7 +447,7 @@
 	is.True(outcomes["lost"] > 0)
 }
 
-func searchNotRun(f *fixture, seed uint64, outcomes map[string]int) {
+func checkNotRunCalls(f *fixture, seed uint64, outcomes map[string]int) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	var ran sync.Map
 	effect := func(ctx context.Context, decode Decode) (Message, error) {
@@ -481,7 +482,7 @@
 			continue
 		case 3:
 			heal := f.network.Partition(simnet.ByIP(clientIP), simnet.ByIP(serverIP))
-			time.Sleep(time.Duration(random.Int64N(int64(2 * bound))))
+			time.Sleep(time.Duration(random.Int64N(int64(2 * maxLossDetection))))
 			heal()
 			continue
 		case 1:
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// acceptPause is how long the server waits after a failed accept, for instance for want of descriptors.
-	acceptPause = 20 * time.Millisecond
-	// shutdownLinger is how long clients have to close their connections after the last answer.
+	// acceptRetryDelay is the delay after a failed accept, for instance when the process has run out of file
+	// descriptors.
+	acceptRetryDelay = 20 * time.Millisecond
+	// shutdownLinger is the time that clients have to close their connections after the last response.
 	shutdownLinger = 5 * time.Second
 )
 
-// handlerEntry is a registered method; one of unary and stream is set.
+// handlerEntry is a registered method; exactly one of unary and stream is set.
 type handlerEntry struct {
 	method string
 	unary  UnaryHandler
 	stream StreamHandler
 }
 
-// Server answers calls. Handlers are registered before Serve.
+// Server handles calls. Handlers must be registered before Serve.
 type Server struct {
 	options  ServerOptions
 	handlers map[string]*handlerEntry
@@ -40,7 +41,7 @@
 	mu          sync.Mutex
 	listeners   map[net.Listener]struct{}
 	connections map[*serverConnection]struct{}
-	// changed is closed and replaced when a call or connection ends while the server drains.
+	// changed is closed and replaced whenever a call or connection ends while the server is draining.
 	changed chan struct{}
 }
 
@@ -71,16 +72,16 @@
 }
 
 func (s *Server) register(entry *handlerEntry) {
-	if _, twice := s.handlers[entry.method]; twice {
+	if _, registered := s.handlers[entry.method]; registered {
 		panic("peer: method " + entry.method + " is registered twice")
 	}
 	s.handlers[entry.method] = entry
 }
 
-// Stats tells what the server met so far.
+// Stats returns the server's counters since its start.
 func (s *Server) Stats() Stats { return s.counters.snapshot() }
 
-// InFlight tells how many calls run now.
+// InFlight returns the number of calls in flight.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
 // Serve accepts connections until Shutdown or Close, then returns ErrClosed. It closes the listener.
@@ -100,7 +101,7 @@
 			return err
 		default:
 			errorlog.Warn(s.options.Logger, "peer accept failed", err)
-			pause.For(s.context, acceptPause)
+			pause.For(s.context, acceptRetryDelay)
 		}
 	}
 }
@@ -135,9 +136,9 @@
 	connection.run(&s.group, connection.handle)
 }
 
-// Shutdown stops accepting, tells the clients to make no new calls here, and waits until the calls in flight are
-// answered. Calls that still arrive are refused with CodeNotReady. When ctx ends first it returns the context's error
-// with calls still running; Close then cuts them off.
+// Shutdown stops accepting connections, notifies the clients that no new calls are accepted, and waits until the calls
+// in flight have completed. Calls that still arrive are refused with CodeNotReady. If ctx ends first, Shutdown returns
+// the context's error while calls are still running; Close then cuts them off.
 func (s *Server) Shutdown(ctx context.Context) error {
 	for _, connection := range s.drain() {
 		connection.announceGoAway()
@@ -147,7 +148,7 @@
 	}
 	lingering, cancel := context.WithTimeout(ctx, shutdownLinger)
 	defer cancel()
-	// Clients close their connections after the last answer; those that do not are closed below.
+	// Clients close their connections after the last response; Close below closes the remaining ones.
 	_ = s.waitUntil(lingering, func() bool { return len(s.connections) == 0 })
 	return s.Close()
 }
@@ -167,7 +168,7 @@
 	return open
 }
 
-// waitUntil waits for a condition on the server, which is evaluated with mu held.
+// waitUntil waits until condition returns true. The condition is evaluated with mu held.
 func (s *Server) waitUntil(ctx context.Context, condition func() bool) error {
 	for {
 		changed, reached := s.check(condition)
@@ -188,7 +189,8 @@
 	return s.changed, condition()
 }
 
-// Close closes listeners and connections, ends the contexts of the calls in flight and waits until they have returned.
+// Close closes the listeners and connections, cancels the contexts of the calls in flight and waits until they have
+// returned.
 func (s *Server) Close() error {
 	open := s.drain()
 	s.cancel()
@@ -206,7 +208,7 @@
 	s.notifyChange()
 }
 
-// callEnded counts a call out.
+// callEnded decrements the number of calls in flight.
 func (s *Server) callEnded() {
 	s.inFlight.Add(-1)
 	if !s.draining.Load() {
@@ -217,7 +219,7 @@
 	s.notifyChange()
 }
 
-// notifyChange is called with mu held.
+// notifyChange wakes the callers of waitUntil. It must be called with mu held.
 func (s *Server) notifyChange() {
 	if s.draining.Load() {
 		close(s.changed)
--- a/internal/peer/server_call.go
+++ b/internal/peer/server_call.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// run answers the call and counts it out.
+// run executes the handler of the call, sends the response and ends the call.
 func (s *serverCall) run(request *frame) {
 	defer s.connection.endCall(s)
 	decode := func(into Message) error {
@@ -18,17 +18,17 @@
 	if s.entry.unary != nil {
 		response, err := s.entry.unary(s.context, decode)
 		request.release()
-		s.answer(kindResponse, response, err)
+		s.respond(kindResponse, response, err)
 		return
 	}
 	err := s.entry.stream(s.context, decode, s)
 	request.release()
-	s.answer(kindEnd, nil, err)
+	s.respond(kindEnd, nil, err)
 }
 
-// answer sends the last frame of the call. It waits for room in the queue as long as the connection lives, so that a
-// deadline that has just passed does not hide an answer.
-func (s *serverCall) answer(kind frameKind, response Message, err error) {
+// respond sends the last frame of the call. It waits for space in the queue until the connection closes, and not only
+// until the call's deadline, so that a response is sent even if the deadline has just passed.
+func (s *serverCall) respond(kind frameKind, response Message, err error) {
 	header := frameHeader{Stream: s.id, Kind: kind}
 	if err == nil {
 		err = s.connection.send(s.connection.context, header, s.entry.method, response, nil)
@@ -37,11 +37,11 @@
 		}
 	}
 	header.Kind = kindError
-	// The connection is gone when this fails, and with it the caller.
+	// If this fails, the connection is closed and the caller has already lost the call.
 	_ = s.connection.send(s.connection.context, header, s.entry.method, toWire(refusalOf(err)), nil)
 }
 
-// refusalOf is the error as the caller sees it.
+// refusalOf converts an error to the *Error that is sent to the caller.
 func refusalOf(err error) *Error {
 	var refusal *Error
 	switch {
@@ -54,7 +54,7 @@
 	}
 }
 
-// Send implements ServerStream. It waits while the receiver's window is used up.
+// Send implements ServerStream. It waits while the receiver's window is exhausted.
 func (s *serverCall) Send(message Message) error {
 	if err := s.window.wait(s.context); err != nil {
 		return err
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	s.window.take(int64(len(encoded)))
+	s.window.consume(int64(len(encoded)))
 	if err := s.connection.writer.enqueue(s.context, encoded, nil); err != nil {
 		return err
 	}
@@ -73,12 +73,12 @@
 	return nil
 }
 
-// sendWindow is how much the receiver of a stream still takes. A message may overdraw it, so that one larger than the
-// window passes.
+// sendWindow is the number of bytes that the receiver of a stream still accepts. A message may make it negative, so
+// that a message larger than the window can be sent.
 type sendWindow struct {
 	mu     sync.Mutex
 	credit int64
-	// changed holds a token when credit was granted.
+	// changed holds a token after credit was granted.
 	changed chan struct{}
 }
 
@@ -91,7 +91,7 @@
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		if w.open() {
+		if w.hasCredit() {
 			return nil
 		}
 		select {
@@ -101,13 +101,13 @@
 	}
 }
 
-func (w *sendWindow) open() bool {
+func (w *sendWindow) hasCredit() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.credit > 0
 }
 
-func (w *sendWindow) take(bytes int64) {
+func (w *sendWindow) consume(bytes int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.credit -= bytes
--- a/internal/peer/server_connection.go
+++ b/internal/peer/server_connection.go
@@ -11,7 +11,7 @@
 	"github.com/hillfork/hillfork/internal/errorlog"
 )
 
-// serverConnection is the answering end of a connection. Lock order: Server.mu, then serverConnection.mu, then
+// serverConnection is the server end of a connection. Lock order: Server.mu, then serverConnection.mu, then
 // keepAlive.mu and frameWriter.mu.
 type serverConnection struct {
 	*connection
@@ -20,9 +20,9 @@
 	cancel  context.CancelFunc
 
 	mu sync.Mutex
-	// goneAway says that a go-away was sent and later calls are refused.
-	goneAway bool
-	// lastID is the highest number of a call taken.
+	// goAwaySent reports that a go-away was sent; later calls are refused.
+	goAwaySent bool
+	// lastID is the highest ID of the accepted calls.
 	lastID uint64
 	calls  map[uint64]*serverCall
 }
@@ -46,12 +46,12 @@
 		calls:      make(map[uint64]*serverCall),
 	}
 	c.context, c.cancel = context.WithCancel(server.context)
-	c.onClose = c.closed
-	c.keepAlive.idle = c.closeIdle
+	c.onClose = c.handleClose
+	c.keepAlive.onIdle = c.closeIdle
 	return c
 }
 
-func (c *serverConnection) closed(cause error) {
+func (c *serverConnection) handleClose(cause error) {
 	c.cancel()
 	if errors.Is(cause, errProtocol) {
 		errorlog.Warn(c.server.options.Logger, "peer connection closed", cause, "remote", c.socket.RemoteAddr())
@@ -62,9 +62,9 @@
 func (c *serverConnection) handle(received *frame) error {
 	switch received.header.Kind {
 	case kindRequest:
-		return c.request(received)
+		return c.handleRequest(received)
 	case kindCancel, kindCredit:
-		c.control(received)
+		c.handleControl(received)
 		return nil
 	default:
 		received.release()
@@ -72,7 +72,7 @@
 	}
 }
 
-func (c *serverConnection) control(received *frame) {
+func (c *serverConnection) handleControl(received *frame) {
 	defer received.release()
 	method := ControlMethod
 	call := c.find(received.header.Stream)
@@ -82,7 +82,7 @@
 	c.observer.PeerBytes(method, 0, received.size)
 	switch {
 	case call == nil:
-		// The call ended while the frame was on its way.
+		// The call ended while the frame was in transit.
 	case received.header.Kind == kindCancel:
 		call.cancel()
 	case call.window != nil:
@@ -96,8 +96,8 @@
 	return c.calls[id]
 }
 
-// request starts a call or refuses it.
-func (c *serverConnection) request(received *frame) error {
+// handleRequest starts a call or refuses it.
+func (c *serverConnection) handleRequest(received *frame) error {
 	header := &received.header
 	entry := c.server.handlers[string(header.Method)]
 	method := ControlMethod
@@ -105,15 +105,15 @@
 		method = entry.method
 	}
 	c.observer.PeerBytes(method, 0, received.size)
-	taken, err := c.takeID(header.Stream)
+	accepted, err := c.acceptID(header.Stream)
 	if err != nil {
 		received.release()
 		return err
 	}
-	if refusal := c.refuse(entry, header, taken); refusal != nil {
+	if refusal := c.refuse(entry, header, accepted); refusal != nil {
 		c.sendNow(frameHeader{Stream: header.Stream, Kind: kindError}, method, toWire(refusal))
 		received.release()
-		if taken {
+		if accepted {
 			c.server.callEnded()
 		}
 		return nil
@@ -123,27 +123,27 @@
 	return nil
 }
 
-// takeID notes the number of a call and reports whether it came before the go-away. Such a call counts as in flight
-// from here on, so that a shutdown that has sent the go-away waits for it.
-func (c *serverConnection) takeID(id uint64) (bool, error) {
+// acceptID records the ID of a call and reports whether the call arrived before the go-away. Such a call counts as in
+// flight from here on, so that a shutdown that has sent the go-away waits for it.
+func (c *serverConnection) acceptID(id uint64) (bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.goneAway {
+	if c.goAwaySent {
 		return false, nil
 	}
-	if _, twice := c.calls[id]; twice || id == 0 {
+	if _, inFlight := c.calls[id]; inFlight || id == 0 {
 		return false, fmt.Errorf("%w: call %d is in flight already", errProtocol, id)
 	}
-	// Calls are numbered before they are queued, so they may come a little out of order.
+	// IDs are allocated before the calls are queued, so calls may arrive slightly out of order.
 	c.lastID = max(c.lastID, id)
 	c.server.inFlight.Add(1)
 	return true, nil
 }
 
-// refuse tells why a call is not run, or returns nil.
-func (c *serverConnection) refuse(entry *handlerEntry, header *frameHeader, taken bool) *Error {
+// refuse returns the reason for which a call is refused, or nil if it is to be run.
+func (c *serverConnection) refuse(entry *handlerEntry, header *frameHeader, accepted bool) *Error {
 	switch {
-	case !taken:
+	case !accepted:
 		return &Error{Code: CodeNotReady, Message: "server is shutting down"}
 	case entry == nil:
 		return &Error{Code: CodeUnknownMethod, Message: fmt.Sprintf("no method %q", header.Method)}
@@ -178,7 +178,7 @@
 	return call
 }
 
-// maxTimeoutMillis keeps a duration from overflowing.
+// maxTimeoutMillis limits the timeout so that the conversion to time.Duration does not overflow.
 const maxTimeoutMillis = int64(365 * 24 * time.Hour / time.Millisecond)
 
 func timeout(millis int64) time.Duration {
@@ -194,18 +194,18 @@
 	c.server.callEnded()
 }
 
-// announceGoAway tells the client which call is the last one taken.
+// announceGoAway sends the client the ID of the last accepted call.
 func (c *serverConnection) announceGoAway() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.goneAway {
+	if c.goAwaySent {
 		return
 	}
-	c.goneAway = true
+	c.goAwaySent = true
 	c.sendControl(frameHeader{Stream: c.lastID, Kind: kindGoAway}, ControlMethod)
 }
 
-// closeIdle closes a connection that its client forgot; the client's own idle time is shorter.
+// closeIdle closes a connection that the client has failed to close; the client's own idle timeout is shorter.
 func (c *serverConnection) closeIdle() {
 	c.announceGoAway()
 	c.mu.Lock()
--- a/internal/peer/writer.go
+++ b/internal/peer/writer.go
@@ -10,45 +10,46 @@
 )
 
 const (
-	// queueBytes is the length of the write queue at which calls wait for room.
-	queueBytes = 1 << 20
-	// controlBytes is the length of the write queue at which even control frames do not fit: the peer sends requests and
-	// pings without reading the answers.
-	controlBytes = queueBytes + 2*MaxFrameBytes
+	// maxQueueBytes is the length of the write queue from which on calls wait for space.
+	maxQueueBytes = 1 << 20
+	// maxControlQueueBytes is the length of the write queue from which on even control frames are refused: the peer
+	// sends requests and pings without reading the responses.
+	maxControlQueueBytes = maxQueueBytes + 2*MaxFrameBytes
 )
 
-// errQueueStopped says that the frame was not queued and never will be written.
+// errQueueStopped reports that the frame was not queued and will never be written.
 var errQueueStopped = errors.New("connection is closed")
 
-// errQueueFull says that the peer does not read what it asks for.
-var errQueueFull = fmt.Errorf("%w: peer does not read its answers", errProtocol)
+// errQueueFull reports that the peer does not read the responses to its requests.
+var errQueueFull = fmt.Errorf("%w: peer does not read its responses", errProtocol)
 
-// frameWriter queues frames and writes all that are queued with one write.
+// frameWriter queues frames and writes all queued frames with one write.
 type frameWriter struct {
 	mu      sync.Mutex
 	pending []byte
 	spare   []byte
-	// marks are set when the frames that they belong to are about to be written.
-	marks   []*atomic.Bool
-	stopped bool
-	// room is closed and replaced each time the queue is taken.
-	room chan struct{}
-	wake chan struct{}
-	done chan struct{}
+	// writtenFlags are set just before the frames that they belong to are written.
+	writtenFlags []*atomic.Bool
+	stopped      bool
+	// spaceFreed is closed and replaced when a full queue is taken for writing.
+	spaceFreed chan struct{}
+	wake       chan struct{}
+	done       chan struct{}
 }
 
 func newFrameWriter() *frameWriter {
 	return &frameWriter{
-		room: make(chan struct{}),
-		wake: make(chan struct{}, 1),
-		done: make(chan struct{}),
+		spaceFreed: make(chan struct{}),
+		wake:       make(chan struct{}, 1),
+		done:       make(chan struct{}),
 	}
 }
 
-// enqueue waits for room and queues the frame. When it returns an error, the frame is not queued. The mark may be nil.
+// enqueue waits for space and queues the frame. If it returns an error, the frame is not queued. mark is set just
+// before the frame is written; it may be nil.
 func (w *frameWriter) enqueue(ctx context.Context, encoded []byte, mark *atomic.Bool) error {
 	for {
-		room, err := w.tryEnqueue(encoded, mark, queueBytes)
+		room, err := w.tryEnqueue(encoded, mark, maxQueueBytes)
 		if room == nil || err != nil {
 			return err
 		}
@@ -64,14 +65,14 @@
 
 // enqueueControl queues a frame without waiting.
 func (w *frameWriter) enqueueControl(encoded []byte) error {
-	room, err := w.tryEnqueue(encoded, nil, controlBytes)
+	room, err := w.tryEnqueue(encoded, nil, maxControlQueueBytes)
 	if room != nil {
 		return errQueueFull
 	}
 	return err
 }
 
-// tryEnqueue queues the frame, or returns the channel that is closed when there may be room.
+// tryEnqueue queues the frame, or returns a channel that is closed when there may be space.
 func (w *frameWriter) tryEnqueue(encoded []byte, mark *atomic.Bool, limit int) (<-chan struct{}, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -79,11 +80,11 @@
 		return nil, errQueueStopped
 	}
 	if len(w.pending) >= limit {
-		return w.room, nil
+		return w.spaceFreed, nil
 	}
 	w.pending = append(w.pending, encoded...)
 	if mark != nil {
-		w.marks = append(w.marks, mark)
+		w.writtenFlags = append(w.writtenFlags, mark)
 	}
 	select {
 	case w.wake <- struct{}{}:
@@ -92,7 +93,7 @@
 	return nil, nil
 }
 
-// stop ends run. After it no further frame is marked as written.
+// stop ends run. Afterwards no further frame is marked as written.
 func (w *frameWriter) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -102,7 +103,7 @@
 	}
 }
 
-// run writes what is queued until stop or the first error.
+// run writes the queued frames until stop or the first error.
 func (w *frameWriter) run(to io.Writer) error {
 	for {
 		select {
@@ -110,7 +111,7 @@
 		case <-w.done:
 			return nil
 		}
-		batch := w.take()
+		batch := w.takeBatch()
 		if len(batch) == 0 {
 			continue
 		}
@@ -121,28 +122,28 @@
 	}
 }
 
-func (w *frameWriter) take() []byte {
+func (w *frameWriter) takeBatch() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.stopped || len(w.pending) == 0 {
 		return nil
 	}
-	for _, mark := range w.marks {
+	for _, mark := range w.writtenFlags {
 		mark.Store(true)
 	}
-	clear(w.marks)
-	w.marks = w.marks[:0]
+	clear(w.writtenFlags)
+	w.writtenFlags = w.writtenFlags[:0]
 	batch := w.pending
 	w.pending, w.spare = w.spare[:0], nil
-	if len(batch) >= queueBytes {
-		close(w.room)
-		w.room = make(chan struct{})
+	if len(batch) >= maxQueueBytes {
+		close(w.spaceFreed)
+		w.spaceFreed = make(chan struct{})
 	}
 	return batch
 }
 
 func (w *frameWriter) recycle(batch []byte) {
-	if cap(batch) > 4*pooledBytes {
+	if cap(batch) > 4*maxPooledBytes {
 		return
 	}
 	w.mu.Lock()
