--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -1,18 +1,19 @@
 package membership
 
-// broadcast is the queue of records to be spread. Each is sent a bounded number of times, the least sent first and among
-// these the newest first, so that news overtakes what has been around.
+// broadcast is the queue of records to be gossiped. Each record is sent a limited number of times. Records that were
+// sent the fewest times come first and among these the newest, so that new updates are sent before older ones.
 type broadcast struct {
 	items map[string]*broadcastItem
-	// levels holds the keys by how often they were sent. An entry whose item has moved on is skipped when met.
+	// levels holds the queued keys, indexed by the number of times they were sent. An entry whose generation differs
+	// from its item's is stale and is skipped.
 	levels     [][]broadcastEntry
 	generation uint64
 }
 
 type broadcastItem struct {
-	// generation tells the valid entry of the item from those left behind.
+	// generation identifies the valid entry of the item; entries of other generations are stale.
 	generation uint64
-	// full asks for all of a member's fields.
+	// full reports whether to send the full record of a member rather than a stateRecord.
 	full bool
 }
 
@@ -27,7 +28,7 @@
 
 func (b *broadcast) empty() bool { return len(b.items) == 0 }
 
-// add queues key as never sent. full stays set while the key is queued.
+// add queues key with a send count of 0. full stays set while the key is queued.
 func (b *broadcast) add(key string, full bool) {
 	item := b.items[key]
 	if item == nil {
@@ -35,13 +36,13 @@
 		b.items[key] = item
 	}
 	item.full = item.full || full
-	b.place(key, item, 0)
+	b.enqueue(key, item, 0)
 }
 
-// drop takes key out of the queue.
-func (b *broadcast) drop(key string) { delete(b.items, key) }
+// remove deletes key from the queue.
+func (b *broadcast) remove(key string) { delete(b.items, key) }
 
-func (b *broadcast) place(key string, item *broadcastItem, level int) {
+func (b *broadcast) enqueue(key string, item *broadcastItem, level int) {
 	b.generation++
 	item.generation = b.generation
 	for len(b.levels) <= level {
@@ -50,8 +51,8 @@
 	b.levels[level] = append(b.levels[level], broadcastEntry{key: key, generation: item.generation})
 }
 
-// fill offers the records to add in order until one does not fit. encode returns nil for a key that is no more. A record
-// sent limit times leaves the queue.
+// fill passes the queued records to add, in order, until one does not fit. encode returns nil for a key that no
+// longer exists. A record that was sent limit times is removed from the queue.
 func (b *broadcast) fill(limit int, encode func(key string, full bool) []byte, add func(record []byte) bool) {
 	var sent []sentItem
 	for level := range b.levels {
@@ -67,7 +68,7 @@
 			delete(b.items, moved.key)
 			continue
 		}
-		b.place(moved.key, item, moved.level+1)
+		b.enqueue(moved.key, item, moved.level+1)
 	}
 }
 
@@ -76,14 +77,14 @@
 	level int
 }
 
-// fillLevel sends from the newest entry of a level down, and returns the entries that stay. Sent items are moved only
-// afterwards, so that no datagram holds a record twice.
+// fillLevel sends the entries of a level from the newest to the oldest and returns those that remain. Sent items are
+// moved to the next level only afterwards, so that no datagram contains a record twice.
 func (b *broadcast) fillLevel(
 	level int,
 	sent *[]sentItem,
 	encode func(key string, full bool) []byte,
 	add func(record []byte) bool,
-) (kept []broadcastEntry, fits bool) {
+) (remaining []broadcastEntry, fits bool) {
 	entries := b.levels[level]
 	for position := len(entries) - 1; position >= 0; position-- {
 		entry := entries[position]
--- a/internal/membership/budget.go
+++ b/internal/membership/budget.go
@@ -3,76 +3,79 @@
 import "time"
 
 const (
-	// answerShare divides the budget to give the part that answers may use. A node that many ask at once would otherwise
-	// spend everything on answers and spread no news, for want of which the others would go on asking it.
-	answerShare = 4
-	// newsShare divides the budget to give the part that news may use. When much changes at once,
-	// comparing records spreads it at less cost than sending each change many times.
-	newsShare = 3
-	// reserveShare divides the burst to give what optional datagrams leave for probes.
-	reserveShare = 4
+	// responseBudgetDivisor divides the budget to give the part that responses may use. Without this limit a node
+	// that receives many requests at once would spend its whole budget on responses and gossip no updates, and the
+	// requesters would keep sending requests because they lack these updates.
+	responseBudgetDivisor = 4
+	// updateBudgetDivisor divides the budget to give the part that updates may use. When much changes at once,
+	// comparing records spreads the changes with fewer bytes than sending each of them many times.
+	updateBudgetDivisor = 3
+	// probeReserveDivisor divides the burst to give the part that optional datagrams leave for probes.
+	probeReserveDivisor = 4
 )
 
-// budget bounds the bytes sent. Probes are always sent; everything else waits for tokens of its own share and of the whole.
+// budget limits the bytes sent. Probes are always sent; all other datagrams need tokens of their own bucket and of
+// the total.
 type budget struct {
-	total   bucket
-	answers bucket
-	news    bucket
+	total     bucket
+	responses bucket
+	updates   bucket
 }
 
 func newBudget(perSecond, burst int, now time.Time) budget {
 	return budget{
-		total:   newBucket(float64(perSecond), float64(burst), now),
-		answers: newBucket(float64(perSecond)/answerShare, float64(burst)/answerShare, now),
-		news:    newBucket(float64(perSecond)/newsShare, float64(burst)/newsShare, now),
+		total:     newBucket(float64(perSecond), float64(burst), now),
+		responses: newBucket(float64(perSecond)/responseBudgetDivisor, float64(burst)/responseBudgetDivisor, now),
+		updates:   newBucket(float64(perSecond)/updateBudgetDivisor, float64(burst)/updateBudgetDivisor, now),
 	}
 }
 
-// refill adds what has been earned up to now.
+// refill adds the tokens for the time that has passed since the last call.
 func (b *budget) refill(now time.Time) {
 	b.total.refill(now)
-	b.answers.refill(now)
-	b.news.refill(now)
+	b.responses.refill(now)
+	b.updates.refill(now)
 }
 
-// spend accounts for a datagram of kind, of which newsBytes are news.
-func (b *budget) spend(kind packetKind, bytes, newsBytes int) {
+// spend accounts for a datagram of kind, of which updateBytes are queued updates.
+func (b *budget) spend(kind packetKind, bytes, updateBytes int) {
 	b.total.tokens -= float64(bytes)
 	switch kind {
 	case packetUrgent:
 	case packetGossip:
-		b.news.tokens -= float64(bytes)
+		b.updates.tokens -= float64(bytes)
 	case packetAck, packetIntroduction:
-		b.answers.tokens -= float64(bytes - newsBytes)
-		b.news.tokens -= float64(newsBytes)
+		b.responses.tokens -= float64(bytes - updateBytes)
+		b.updates.tokens -= float64(updateBytes)
 	default:
-		b.news.tokens -= float64(newsBytes)
+		b.updates.tokens -= float64(updateBytes)
 	}
 }
 
-// allowsNews tells whether a datagram for news alone may be sent.
-func (b *budget) allowsNews() bool { return b.allowsOptional() && b.news.tokens > 0 }
+// allowsGossip reports whether a datagram that only carries updates may be sent.
+func (b *budget) allowsGossip() bool { return b.allowsOptional() && b.updates.tokens > 0 }
 
-// allowsSync tells whether a full datagram of a comparison may be sent. Comparisons may use half of what news and urgent
-// news leave, since they find what these have missed.
+// allowsSync reports whether a full datagram of a comparison may be sent. Comparisons may use half of the reserve
+// that updates and urgent updates leave, since comparisons find records that these did not deliver.
 func (b *budget) allowsSync() bool {
-	return b.total.tokens-b.total.burst/(2*reserveShare) >= maxPacketBytes+overheadBytes
+	return b.total.tokens-b.total.burst/(2*probeReserveDivisor) >= maxPacketBytes+overheadBytes
 }
 
-// allowsOptional tells whether a full datagram may be sent that is neither a probe, its answer, nor a comparison.
+// allowsOptional reports whether a full datagram may be sent that is neither a probe, its response, nor part of a
+// comparison.
 func (b *budget) allowsOptional() bool {
-	return b.total.tokens-b.total.burst/reserveShare >= maxPacketBytes+overheadBytes
+	return b.total.tokens-b.total.burst/probeReserveDivisor >= maxPacketBytes+overheadBytes
 }
 
-// allowsPiggyback tells whether news may be added to a datagram that is sent anyway.
+// allowsPiggyback reports whether updates may be added to a datagram that is sent anyway.
 func (b *budget) allowsPiggyback() bool {
-	return b.news.tokens > 0 && b.total.tokens >= maxPacketBytes+overheadBytes
+	return b.updates.tokens > 0 && b.total.tokens >= maxPacketBytes+overheadBytes
 }
 
-// allowsAnswer tells whether an answer may be sent.
-func (b *budget) allowsAnswer() bool { return b.answers.tokens > 0 }
+// allowsResponse reports whether a response may be sent.
+func (b *budget) allowsResponse() bool { return b.responses.tokens > 0 }
 
-// bucket is a token bucket that may be overdrawn.
+// bucket is a token bucket whose balance may become negative.
 type bucket struct {
 	perSecond float64
 	burst     float64
@@ -85,7 +88,7 @@
 }
 
 func (b *bucket) refill(now time.Time) {
-	earned := now.Sub(b.updated).Seconds() * b.perSecond
+	added := now.Sub(b.updated).Seconds() * b.perSecond
 	b.updated = now
-	b.tokens = min(b.burst, b.tokens+max(0, earned))
+	b.tokens = min(b.burst, b.tokens+max(0, added))
 }
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -15,7 +15,7 @@
 	checksumBytes  = 4
 	prefixBytes    = 1 + checksumBytes
 	maxPacketBytes = 1200
-	// overheadBytes is what IP and UDP add to a datagram.
+	// overheadBytes is the size of the IP and UDP headers of a datagram.
 	overheadBytes = 28
 )
 
@@ -24,25 +24,25 @@
 // packet is a decoded datagram.
 type packet struct {
 	header header
-	// members, states and facts are the records in order of their kinds.
+	// members, states and facts are the records, by kind.
 	members []memberRecord
 	states  []stateRecord
 	facts   []factRecord
 }
 
-// encoder builds one datagram up to a limit of bytes.
+// encoder builds one datagram of at most limit bytes.
 type encoder struct {
 	buffer []byte
 	limit  int
 }
 
-// newEncoder starts a datagram; headers always fit into maxPacketBytes.
+// newEncoder starts a datagram. Every header fits into maxPacketBytes.
 func newEncoder(head *header) *encoder {
 	buffer := make([]byte, prefixBytes, maxPacketBytes)
 	return &encoder{buffer: mustMarshal(buffer, head), limit: maxPacketBytes}
 }
 
-// add appends an encoded record if it fits.
+// add appends an encoded record and reports whether it fitted.
 func (e *encoder) add(record []byte) bool {
 	if len(e.buffer)+len(record) > e.limit {
 		return false
@@ -51,7 +51,7 @@
 	return true
 }
 
-// finish seals the datagram.
+// finish sets the version and checksum and returns the datagram.
 func (e *encoder) finish(cluster string) []byte {
 	e.buffer[0] = wireVersion
 	binary.BigEndian.PutUint32(e.buffer[1:], checksum(cluster, e.buffer[prefixBytes:]))
@@ -66,12 +66,12 @@
 	return uint32(digest.Sum64())
 }
 
-// encodeRecord returns a record with its kind in front.
+// encodeRecord returns a record preceded by its kind.
 func encodeRecord(kind recordKind, record msgp.Marshaler) []byte {
 	return mustMarshal([]byte{byte(kind)}, record)
 }
 
-// mustMarshal appends a message. Messages without extensions or interfaces cannot fail to be encoded.
+// mustMarshal appends a message. Encoding cannot fail for messages without extensions or interfaces.
 func mustMarshal(buffer []byte, message msgp.Marshaler) []byte {
 	encoded, err := message.MarshalMsg(buffer)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return encoded
 }
 
-// decode reads a datagram. Whatever the bytes, it returns either a packet within all bounds or errMalformed.
+// decode reads a datagram. For any input it returns either a packet within all limits or errMalformed.
 func decode(cluster string, datagram []byte) (*packet, error) {
 	if len(datagram) < prefixBytes || len(datagram) > maxPacketBytes || datagram[0] != wireVersion {
 		return nil, errMalformed
@@ -174,15 +174,15 @@
 
 func (r *factRecord) valid() bool { return validFact(r.Key, r.Value) }
 
-func validState(node string, seen condition) bool {
-	return node != "" && len(node) <= maxNodeBytes && seen >= conditionAlive && seen <= conditionDead
+func validState(node string, observed condition) bool {
+	return node != "" && len(node) <= maxNodeBytes && observed >= conditionAlive && observed <= conditionDead
 }
 
 func validFact(key string, value []byte) bool {
 	return key != "" && len(key) <= maxFactKeyBytes && len(value) <= MaxFactBytes
 }
 
-// encodeAddress returns the bytes of an "ip:port"; none for the empty address.
+// encodeAddress returns the binary form of an "ip:port", or nil if address is not valid.
 func encodeAddress(address string) []byte {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -195,7 +195,7 @@
 	return encoded
 }
 
-// decodeAddress is the inverse of encodeAddress; no bytes are an error.
+// decodeAddress is the inverse of encodeAddress; an empty input is an error.
 func decodeAddress(encoded []byte) (netip.AddrPort, error) {
 	var address netip.AddrPort
 	if err := address.UnmarshalBinary(encoded); err != nil || !address.IsValid() {
@@ -204,8 +204,8 @@
 	return address, nil
 }
 
-// addressText returns the "ip:port" of encoded bytes; empty where there is none.
-func addressText(encoded []byte) string {
+// formatAddress returns the "ip:port" of an encoded address, or "" if it is not valid.
+func formatAddress(encoded []byte) string {
 	address, err := decodeAddress(encoded)
 	if err != nil {
 		return ""
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -15,7 +15,7 @@
 	"github.com/hillfork/hillfork/internal/network"
 )
 
-// Defaults of Timing.
+// Default values of Timing.
 const (
 	DefaultProbeInterval       = time.Second
 	DefaultProbeTimeout        = 400 * time.Millisecond
@@ -30,86 +30,88 @@
 	DefaultSeedInterval        = 30 * time.Second
 )
 
-// DefaultMaxFacts bounds the facts that a node keeps.
+// DefaultMaxFacts is the default limit of the facts that a node stores.
 const DefaultMaxFacts = 8192
 
-// Config sets up a Membership. Self.Node, Network, ListenAddress are needed; the other zero values take defaults.
+// Config configures a Membership. Self.Node, Network and ListenAddress are required; other zero values take defaults.
 type Config struct {
-	// Self is this process. An empty GossipAddress becomes the address that is listened at. State is ignored.
+	// Self is this process. An empty GossipAddress is replaced by the address of the socket. State is ignored.
 	Self Member
-	// Cluster separates clusters that could reach each other by mistake; datagrams of another one are dropped.
+	// Cluster is the cluster's name. Datagrams of other clusters are dropped, in case clusters can reach each other
+	// by mistake.
 	Cluster string
 	Network network.Network
-	// ListenAddress is the "ip:port" for datagrams.
+	// ListenAddress is the "ip:port" of the UDP socket.
 	ListenAddress string
-	// Seeds returns gossip addresses that may be tried when nobody is known, or to find parts of the cluster that were
-	// cut off. It may block until its context ends; its own address among them does no harm.
+	// Seeds returns gossip addresses to try when no member is known, or to find parts of the cluster that were
+	// partitioned off. It may block until its context ends. The node's own address may be among them.
 	Seeds  func(ctx context.Context) []string
 	Timing Timing
-	// FactClasses tell what applies to facts, by the longest prefix of their keys. A fact of no class lives on and
-	// spreads with the probes.
+	// FactClasses set the rules for facts by the longest matching prefix of their keys. A fact without a class does
+	// not expire and is gossiped with the probes.
 	FactClasses []FactClass
-	// MaxFacts bounds the facts kept; those beyond it are dropped and counted.
+	// MaxFacts limits the number of facts stored; further ones are dropped and counted.
 	MaxFacts int
-	// Seed makes random choices repeatable; 0 draws one.
+	// Seed makes random choices repeatable; 0 selects a random seed.
 	Seed     uint64
 	Logger   *log.Logger
 	Observer Observer
 }
 
-// Timing holds the rates and bounds of the protocol. Zero values take the defaults.
+// Timing holds the intervals, timeouts and limits of the protocol. Zero values take the defaults.
 type Timing struct {
-	// ProbeInterval is how often one member is probed.
+	// ProbeInterval is the interval between probes; each probes one member.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct probe waits before others are asked to probe.
+	// ProbeTimeout is how long a direct probe waits for its ack before other members are requested to probe the
+	// target.
 	ProbeTimeout time.Duration
-	// SuspicionMultiplier times the decimal logarithm of the cluster size, in probe intervals, is how long a suspect may
-	// take to refute.
+	// SuspicionMultiplier times the decimal logarithm of the cluster size, in probe intervals, is how long a suspect
+	// has to refute.
 	SuspicionMultiplier int
-	// IndirectProbes is how many others are asked to probe.
+	// IndirectProbes is the number of other members that are requested to probe.
 	IndirectProbes int
-	// FanOut is how many members are sent news at a time.
+	// FanOut is the number of members that updates are sent to at a time.
 	FanOut int
-	// BytesPerSecond bounds what is sent on the average, headers of IP and UDP included.
+	// BytesPerSecond limits the average send rate, IP and UDP headers included.
 	BytesPerSecond int
-	// BurstBytes is how many bytes may be saved up for a burst.
+	// BurstBytes is the maximum number of bytes sent in a burst.
 	BurstBytes int
-	// SyncInterval is how often the state is compared with that of some other member.
+	// SyncInterval is the interval between comparisons of all records with another member.
 	SyncInterval time.Duration
-	// ReconnectInterval is how often a dead member or an unknown seed is tried.
+	// ReconnectInterval is the interval between attempts to reach a dead member or an unknown seed.
 	ReconnectInterval time.Duration
-	// ReapAfter is how long a dead member is remembered.
+	// ReapAfter is how long a dead member is kept.
 	ReapAfter time.Duration
-	// SeedInterval is how often the seeds are asked for; while nobody is known it is the probe interval.
+	// SeedInterval is the interval between calls of Seeds; while no member is known it is ProbeInterval.
 	SeedInterval time.Duration
 }
 
-// FactClass tells what applies to facts whose keys have a prefix.
+// FactClass sets the rules for facts whose keys have a prefix.
 type FactClass struct {
 	Prefix string
-	// TimeToLive is how long a fact stays after it was last set; 0 keeps it.
+	// TimeToLive is how long a fact is kept after it was last set; 0 keeps it without limit.
 	TimeToLive time.Duration
-	// Urgent facts are sent at once to a few members, each of which does the same.
+	// Urgent facts are sent at once to a few members, each of which forwards them in the same way.
 	Urgent bool
 }
 
-// DropReason tells why a datagram or a record was dropped.
+// DropReason is the reason for dropping a datagram or a record.
 type DropReason string
 
-// Reasons to drop.
+// Reasons for dropping a datagram or a record.
 const (
-	// DropMalformed says that a datagram was not of this protocol or this cluster, or was damaged.
+	// DropMalformed means that a datagram was damaged or was not of this protocol or this cluster.
 	DropMalformed DropReason = "malformed"
-	// DropOverBudget says that an answer was not sent because the byte budget was used up.
+	// DropOverBudget means that a response was not sent because the byte budget was exhausted.
 	DropOverBudget DropReason = "over_budget"
-	// DropSendFailed says that the network refused a datagram.
+	// DropSendFailed means that the network returned an error for a datagram.
 	DropSendFailed DropReason = "send_failed"
-	// DropTooManyFacts says that a fact did not fit any more.
+	// DropTooManyFacts means that a fact exceeded MaxFacts.
 	DropTooManyFacts DropReason = "too_many_facts"
 )
 
-// Observer is told what is sent and received. Its functions may be nil, must not block, and are called from one
-// goroutine. Bytes are those of the datagrams without headers of IP and UDP.
+// Observer receives the sizes of sent and received datagrams and the reasons of drops. Its functions may be nil, must
+// not block, and are called from one goroutine. Sizes exclude IP and UDP headers.
 type Observer struct {
 	Sent     func(bytes int)
 	Received func(bytes int)
@@ -134,16 +136,16 @@
 	}
 }
 
-// Bounds of names, so that every record fits a datagram.
+// Limits of names and values; they ensure that every record fits into a datagram.
 const (
 	maxNodeBytes     = 64
 	maxLocationBytes = 64
 	maxFactKeyBytes  = 128
-	// MaxFactBytes bounds the value of a fact.
+	// MaxFactBytes is the maximum size of a fact's value.
 	MaxFactBytes = 96
 )
 
-// withDefaults checks the configuration and fills in what is not set.
+// withDefaults validates the configuration and sets defaults.
 func (c Config) withDefaults() (Config, error) {
 	if err := c.check(); err != nil {
 		return c, oops.In("membership").With("node", c.Self.Node).Wrap(err)
@@ -159,7 +161,7 @@
 
 func (c Config) check() error {
 	if c.Network == nil {
-		return errors.New("a network is needed")
+		return errors.New("a network is required")
 	}
 	if c.Self.Node == "" || len(c.Self.Node) > maxNodeBytes {
 		return errors.New("the node's name must have 1 to 64 bytes")
@@ -191,13 +193,13 @@
 	return t
 }
 
-func setDefault[Number int | time.Duration](value *Number, standard Number) {
+func setDefault[Number int | time.Duration](value *Number, defaultValue Number) {
 	if *value <= 0 {
-		*value = standard
+		*value = defaultValue
 	}
 }
 
-// factClass returns the class of the longest prefix of key; the zero class where none fits.
+// factClass returns the class with the longest matching prefix of key, or the zero class if none matches.
 func (c Config) factClass(key string) FactClass {
 	var best FactClass
 	for _, class := range c.FactClasses {
--- a/internal/membership/fabric_test.go
+++ b/internal/membership/fabric_test.go
@@ -13,32 +13,32 @@
 	"github.com/matryer/is"
 )
 
-// fabric carries datagrams between nodes in virtual time.
-type fabric struct {
+// fakeNetwork carries datagrams between nodes in virtual time.
+type fakeNetwork struct {
 	mutex   sync.Mutex
 	sockets map[string]*socket
-	// blocked tells which datagrams are lost.
+	// blocked reports whether a datagram is lost.
 	blocked func(from, to string) bool
 }
 
-func newFabric() *fabric {
-	return &fabric{sockets: make(map[string]*socket), blocked: func(string, string) bool { return false }}
+func newFakeNetwork() *fakeNetwork {
+	return &fakeNetwork{sockets: make(map[string]*socket), blocked: func(string, string) bool { return false }}
 }
 
-func (f *fabric) DialContext(context.Context, string) (net.Conn, error) {
+func (f *fakeNetwork) DialContext(context.Context, string) (net.Conn, error) {
 	return nil, errors.ErrUnsupported
 }
 
-func (f *fabric) Listen(string) (net.Listener, error) { return nil, errors.ErrUnsupported }
+func (f *fakeNetwork) Listen(string) (net.Listener, error) { return nil, errors.ErrUnsupported }
 
-func (f *fabric) ListenPacket(address string) (net.PacketConn, error) {
+func (f *fakeNetwork) ListenPacket(address string) (net.PacketConn, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.sockets[address] != nil {
 		return nil, errors.New("address in use")
 	}
 	opened := &socket{
-		fabric:  f,
+		network: f,
 		address: address,
 		inbox:   make(chan inbound, 4096),
 		closed:  make(chan struct{}),
@@ -49,23 +49,23 @@
 	return opened, nil
 }
 
-// block replaces the rule by which datagrams are lost.
-func (f *fabric) block(rule func(from, to string) bool) {
+// block replaces the rule that determines which datagrams are lost.
+func (f *fakeNetwork) block(rule func(from, to string) bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.blocked = rule
 }
 
-const fabricLatency = 2 * time.Millisecond
+const fakeNetworkLatency = 2 * time.Millisecond
 
-func (f *fabric) deliver(from, to string, payload []byte) {
+func (f *fakeNetwork) deliver(from, to string, payload []byte) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	target := f.sockets[to]
 	if target == nil || f.blocked(from, to) {
 		return
 	}
-	message := inbound{from: from, payload: append([]byte(nil), payload...), due: time.Now().Add(fabricLatency)}
+	message := inbound{from: from, payload: append([]byte(nil), payload...), due: time.Now().Add(fakeNetworkLatency)}
 	select {
 	case target.inbox <- message:
 	default:
@@ -75,13 +75,13 @@
 type inbound struct {
 	from    string
 	payload []byte
-	// due is when the datagram arrives. All take as long, so that none need overtake another.
+	// due is when the datagram arrives. The latency is the same for all datagrams, so they arrive in order.
 	due time.Time
 }
 
-// socket is one end of the fabric. While it is paused its owner stands still in ReadFrom and WriteTo.
+// socket is a packet connection of the fake network. While it is paused, its owner blocks in ReadFrom and WriteTo.
 type socket struct {
-	fabric  *fabric
+	network *fakeNetwork
 	address string
 	inbox   chan inbound
 	closed  chan struct{}
@@ -102,7 +102,7 @@
 	close(s.resumed)
 }
 
-func (s *socket) await() {
+func (s *socket) waitUntilResumed() {
 	s.mutex.Lock()
 	resumed := s.resumed
 	s.mutex.Unlock()
@@ -113,7 +113,7 @@
 	select {
 	case message := <-s.inbox:
 		time.Sleep(time.Until(message.due))
-		s.await()
+		s.waitUntilResumed()
 		from, err := net.ResolveUDPAddr("udp", message.from)
 		return copy(buffer, message.payload), from, err
 	case <-s.closed:
@@ -122,16 +122,16 @@
 }
 
 func (s *socket) WriteTo(payload []byte, to net.Addr) (int, error) {
-	s.await()
-	s.fabric.deliver(s.address, to.String(), payload)
+	s.waitUntilResumed()
+	s.network.deliver(s.address, to.String(), payload)
 	return len(payload), nil
 }
 
 func (s *socket) Close() error {
-	s.fabric.mutex.Lock()
-	defer s.fabric.mutex.Unlock()
-	if s.fabric.sockets[s.address] == s {
-		delete(s.fabric.sockets, s.address)
+	s.network.mutex.Lock()
+	defer s.network.mutex.Unlock()
+	if s.network.sockets[s.address] == s {
+		delete(s.network.sockets, s.address)
 		close(s.closed)
 	}
 	return nil
@@ -146,19 +146,19 @@
 func (s *socket) SetReadDeadline(time.Time) error  { return errors.ErrUnsupported }
 func (s *socket) SetWriteDeadline(time.Time) error { return errors.ErrUnsupported }
 
-// cluster runs nodes over a fabric inside a synctest bubble.
+// cluster runs nodes over a fake network inside a synctest bubble.
 type cluster struct {
-	t      *testing.T
-	fabric *fabric
-	nodes  map[string]*node
-	zones  int
-	adjust func(config *Config)
+	t            *testing.T
+	network      *fakeNetwork
+	nodes        map[string]*node
+	zones        int
+	adjustConfig func(config *Config)
 }
 
 type node struct {
 	*Membership
 	stop func()
-	// done is closed when Run has returned err.
+	// done is closed after Run has returned; err is its error.
 	done chan struct{}
 	err  error
 
@@ -168,20 +168,20 @@
 }
 
 func newCluster(t *testing.T, zones int) *cluster {
-	c := &cluster{t: t, fabric: newFabric(), nodes: make(map[string]*node), zones: zones}
-	c.adjust = func(*Config) {}
+	c := &cluster{t: t, network: newFakeNetwork(), nodes: make(map[string]*node), zones: zones}
+	c.adjustConfig = func(*Config) {}
 	return c
 }
 
 func nodeName(number int) string    { return fmt.Sprintf("node-%03d", number) }
 func nodeAddress(number int) string { return fmt.Sprintf("10.0.%d.%d:7000", number/200, number%200+1) }
 
-// start runs node number, whose seeds are the first three nodes.
+// start runs a node, whose seeds are the first three nodes.
 func (c *cluster) start(number int) *node {
 	return c.startAs(nodeName(number), number, 1)
 }
 
-// startAs runs a node of any name at the address of number.
+// startAs runs a node with the given name at the address of number.
 func (c *cluster) startAs(name string, number int, incarnation uint64) *node {
 	c.t.Helper()
 	started := &node{done: make(chan struct{}), dropped: make(map[DropReason]int)}
@@ -193,7 +193,7 @@
 			Zone:        fmt.Sprintf("zone-%d", number%c.zones),
 			Region:      "region",
 		},
-		Network:       c.fabric,
+		Network:       c.network,
 		ListenAddress: nodeAddress(number),
 		Seeds: func(context.Context) []string {
 			return []string{nodeAddress(0), nodeAddress(1), nodeAddress(2)}
@@ -204,7 +204,7 @@
 			Dropped: func(reason DropReason) { started.count(func() { started.dropped[reason]++ }) },
 		},
 	}
-	c.adjust(&config)
+	c.adjustConfig(&config)
 	membership, err := New(config)
 	is.New(c.t).NoErr(err)
 	started.Membership = membership
@@ -233,7 +233,7 @@
 	return n.sent
 }
 
-// bytesSent is what all running nodes have sent.
+// bytesSent returns the bytes sent by all running nodes.
 func (c *cluster) bytesSent() int {
 	total := 0
 	for _, running := range c.nodes {
@@ -249,16 +249,16 @@
 	}
 }
 
-// crash ends a node without a word.
+// crash stops a node without letting it announce its exit.
 func (c *cluster) crash(name string) {
 	crashed := c.nodes[name]
 	address := crashed.Self().GossipAddress
-	c.fabric.mutex.Lock()
-	before := c.fabric.blocked
-	c.fabric.blocked = func(from, to string) bool { return from == address || before(from, to) }
-	c.fabric.mutex.Unlock()
+	c.network.mutex.Lock()
+	before := c.network.blocked
+	c.network.blocked = func(from, to string) bool { return from == address || before(from, to) }
+	c.network.mutex.Unlock()
 	crashed.stop()
-	c.fabric.block(before)
+	c.network.block(before)
 	delete(c.nodes, name)
 }
 
@@ -269,7 +269,7 @@
 	}
 }
 
-// stateOf is what node holds of other; 0 where it does not know it.
+// stateOf returns the state that the node assigns to other, or 0 if it does not know it.
 func (n *node) stateOf(other string) State {
 	for _, member := range n.Members() {
 		if member.Node == other {
@@ -279,17 +279,17 @@
 	return 0
 }
 
-// await passes virtual time until done, at most limit, and returns how long it took.
-func (c *cluster) await(limit time.Duration, done func() bool) time.Duration {
+// waitFor advances virtual time until done returns true and returns the elapsed time. It fails the test after limit.
+func (c *cluster) waitFor(limit time.Duration, done func() bool) time.Duration {
 	c.t.Helper()
 	step := 50 * time.Millisecond
 	if len(c.nodes) >= 100 {
-		step = time.Second // looking at all views of all nodes is what takes real time
+		step = time.Second // checking the views of all nodes takes most of the real time
 	}
 	begin := time.Now()
 	for !done() {
 		if time.Since(begin) > limit {
-			c.t.Fatalf("not reached within %v", limit)
+			c.t.Fatalf("condition not met within %v", limit)
 		}
 		time.Sleep(step)
 		synctest.Wait()
@@ -297,19 +297,19 @@
 	return time.Since(begin)
 }
 
-// everybody tells whether holds is true of all running nodes.
-func (c *cluster) everybody(holds func(running *node) bool) bool {
+// allNodes reports whether predicate is true for all running nodes.
+func (c *cluster) allNodes(predicate func(running *node) bool) bool {
 	for _, running := range c.nodes {
-		if !holds(running) {
+		if !predicate(running) {
 			return false
 		}
 	}
 	return true
 }
 
-// allAlive tells whether every running node holds exactly the running nodes alive.
+// allAlive reports whether every running node sees exactly the running nodes as alive.
 func (c *cluster) allAlive() bool {
-	return c.everybody(func(running *node) bool {
+	return c.allNodes(func(running *node) bool {
 		alive := 0
 		for _, member := range running.Members() {
 			if member.State == StateAlive {
--- a/internal/membership/facts.go
+++ b/internal/membership/facts.go
@@ -10,19 +10,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fact is a small register that every node holds a copy of. Of two values the one of the higher version stands, and at
-// equal versions the one of the greater bytes.
+// Fact is a small versioned value of which every node stores a copy. Of two values the one with the higher version
+// wins, and at equal versions the one with the greater bytes.
 type Fact struct {
 	Key     string
 	Version uint64
 	Value   []byte
 }
 
-// factEntry is a fact with when it was set, as this node's clock tells.
+// factEntry is a stored fact and the time at which it was set, by this node's clock.
 type factEntry struct {
 	fact  Fact
 	setAt time.Time
-	// expiresAt is when the fact is dropped; zero where it stays.
+	// expiresAt is when the fact is dropped; zero if it does not expire.
 	expiresAt time.Time
 }
 
@@ -33,7 +33,7 @@
 	return bytes.Compare(f.Value, other.Value) > 0
 }
 
-// digest is the hash by which two nodes compare what they hold of a fact.
+// digest returns the hash by which two nodes compare their copies of a fact.
 func (f Fact) digest() uint64 {
 	buffer := make([]byte, 0, len(factKeyPrefix)+len(f.Key)+8+len(f.Value))
 	buffer = append(buffer, factKeyPrefix...)
@@ -43,7 +43,7 @@
 	return xxhash.Sum64(buffer)
 }
 
-// mergeFact takes in a fact that was set age ago, and tells whether it was news.
+// mergeFact merges a fact that was set age ago and reports whether it was new.
 func (p *protocol) mergeFact(now time.Time, fact Fact, age time.Duration) bool {
 	class := p.config.factClass(fact.Key)
 	if class.TimeToLive > 0 && age >= class.TimeToLive {
@@ -57,26 +57,26 @@
 		p.config.Observer.dropped(DropTooManyFacts)
 		return false
 	}
-	entered := &factEntry{fact: fact, setAt: now.Add(-age)}
+	added := &factEntry{fact: fact, setAt: now.Add(-age)}
 	if class.TimeToLive > 0 {
-		entered.expiresAt = entered.setAt.Add(class.TimeToLive)
+		added.expiresAt = added.setAt.Add(class.TimeToLive)
 	}
-	p.facts[fact.Key] = entered
+	p.facts[fact.Key] = added
 	key := factKey(fact.Key)
 	p.keys.insert(key)
 	p.queue.add(key, true)
 	p.factsChanged = true
 	if class.Urgent {
-		p.hurry(now, key)
+		p.queueUrgent(now, key)
 	}
 	return true
 }
 
-// expireFacts drops facts that have outlived their class. Copies that still travel carry their age and are not taken in
-// again.
+// expireFacts drops facts that are older than the TimeToLive of their class. Copies that are still in transit carry
+// their age and are not merged again.
 func (p *protocol) expireFacts(now time.Time) {
-	for key, held := range p.facts {
-		if held.expiresAt.IsZero() || now.Before(held.expiresAt) {
+	for key, entry := range p.facts {
+		if entry.expiresAt.IsZero() || now.Before(entry.expiresAt) {
 			continue
 		}
 		delete(p.facts, key)
@@ -85,16 +85,16 @@
 	}
 }
 
-// factsWith returns the facts whose keys have prefix, sorted by key.
-func (p *protocol) factsWith(prefix string) []Fact {
+// factsWithPrefix returns the facts whose keys have prefix, sorted by key.
+func (p *protocol) factsWithPrefix(prefix string) []Fact {
 	var result []Fact
 	for _, key := range p.keys.between(factKeyPrefix, "") {
 		if !strings.HasPrefix(key, factKeyPrefix) {
 			break
 		}
-		held := p.facts[strings.TrimPrefix(key, factKeyPrefix)]
-		if strings.HasPrefix(held.fact.Key, prefix) {
-			result = append(result, held.fact.copy())
+		entry := p.facts[strings.TrimPrefix(key, factKeyPrefix)]
+		if strings.HasPrefix(entry.fact.Key, prefix) {
+			result = append(result, entry.fact.copy())
 		}
 	}
 	return result
--- a/internal/membership/facts_test.go
+++ b/internal/membership/facts_test.go
@@ -8,19 +8,20 @@
 	"github.com/matryer/is"
 )
 
-// startKnown runs count nodes that know each other from the start, so that large clusters need not be waited for.
-func (c *cluster) startKnown(count int) {
+// startIntroduced runs count nodes that know each other from the start, so that tests need not wait for a large
+// cluster to join.
+func (c *cluster) startIntroduced(count int) {
 	now := time.Now()
 	c.startAll(count)
 	for _, running := range c.nodes {
 		running.Membership.mutex.Lock()
 		for _, other := range c.nodes {
 			if other != running {
-				running.protocol.insertQuietly(now, other.protocol.selfEntry().record)
+				running.protocol.insertWithoutGossip(now, other.protocol.selfEntry().record)
 			}
 		}
-		running.protocol.queue.drop(memberKey(running.config.Self.Node))
-		running.publish()
+		running.protocol.queue.remove(memberKey(running.config.Self.Node))
+		running.notifyChanges()
 		running.Membership.mutex.Unlock()
 	}
 }
@@ -30,11 +31,13 @@
 	{Prefix: "leaving/", Urgent: true, TimeToLive: time.Minute},
 }
 
-func TestFactsExpireEverywhereAndStayGone(t *testing.T) {
+// TestFactsExpireOnAllNodesAndDoNotReturn checks that a fact also expires on a node that learned it late, and that
+// copies of an expired fact are not merged again.
+func TestFactsExpireOnAllNodesAndDoNotReturn(t *testing.T) {
 	run(t, 2, func(is *is.I, c *cluster) {
-		c.adjust = func(config *Config) { config.FactClasses = urgentClasses }
+		c.adjustConfig = func(config *Config) { config.FactClasses = urgentClasses }
 		c.startAll(12)
-		c.await(30*time.Second, c.allAlive)
+		c.waitFor(30*time.Second, c.allAlive)
 		c.nodes[nodeName(1)].SetFact("leaving/engine-1", 1, nil)
 		count := func() int {
 			total := 0
@@ -43,12 +46,12 @@
 			}
 			return total
 		}
-		c.await(2*time.Second, func() bool { return count() == 12 })
+		c.waitFor(2*time.Second, func() bool { return count() == 12 })
 		time.Sleep(30 * time.Second)
 		is.Equal(count(), 12)
-		late := c.start(12) // learns it by comparing records, and with it its age
-		c.await(10*time.Second, func() bool { return len(late.Facts("leaving/")) == 1 })
-		c.await(35*time.Second, func() bool { return count() == 0 })
+		late := c.start(12) // learns the fact and its age by comparing records
+		c.waitFor(10*time.Second, func() bool { return len(late.Facts("leaving/")) == 1 })
+		c.waitFor(35*time.Second, func() bool { return count() == 0 })
 		for range 600 {
 			time.Sleep(100 * time.Millisecond)
 			is.Equal(count(), 0)
@@ -84,10 +87,10 @@
 	})
 }
 
-func TestManyFactsStayWithinTheBudgetAndArrive(t *testing.T) {
+func TestManyFactsSpreadWithinByteBudget(t *testing.T) {
 	run(t, 2, func(is *is.I, c *cluster) {
 		c.startAll(20)
-		c.await(30*time.Second, c.allAlive)
+		c.waitFor(30*time.Second, c.allAlive)
 		time.Sleep(time.Minute)
 		const facts, seconds = 400, 60
 		before := make(map[string]int)
@@ -99,9 +102,9 @@
 			setter.SetFact(fmt.Sprintf("leaving/engine-%d", number), 1, []byte("value"))
 		}
 		arrived := func() bool {
-			return c.everybody(func(running *node) bool { return len(running.Facts("leaving/")) == facts })
+			return c.allNodes(func(running *node) bool { return len(running.Facts("leaving/")) == facts })
 		}
-		t.Logf("400 facts at once arrived in %v", c.await(seconds*time.Second, arrived))
+		t.Logf("400 facts set at once arrived in %v", c.waitFor(seconds*time.Second, arrived))
 		time.Sleep(seconds * time.Second)
 		for name, running := range c.nodes {
 			is.True(running.bytesSent()-before[name] < DefaultBurstBytes+DefaultBytesPerSecond*(2*seconds+1))
--- a/internal/membership/failure_test.go
+++ b/internal/membership/failure_test.go
@@ -23,29 +23,29 @@
 	return addresses
 }
 
-func TestZoneThatWasCutOffMeetsTheOthersAgain(t *testing.T) {
+func TestPartitionedZoneRejoinsCluster(t *testing.T) {
 	run(t, 3, func(is *is.I, c *cluster) {
 		c.startAll(30)
-		c.await(30*time.Second, c.allAlive)
-		cut := c.addressesOfZone(2)
-		c.fabric.block(func(from, to string) bool { return cut[from] != cut[to] })
+		c.waitFor(30*time.Second, c.allAlive)
+		isolated := c.addressesOfZone(2)
+		c.network.block(func(from, to string) bool { return isolated[from] != isolated[to] })
 		inside, outside := c.nodes[nodeName(2)], c.nodes[nodeName(0)]
-		parted := func() bool {
+		separated := func() bool {
 			return alive(inside) == 10 && alive(outside) == 20
 		}
-		t.Logf("parted in %v", c.await(time.Minute, parted))
+		t.Logf("partition detected in %v", c.waitFor(time.Minute, separated))
 		time.Sleep(5 * time.Minute)
 		c.nodes[nodeName(0)].SetFact("bundle", 2, []byte("two"))
 		c.nodes[nodeName(2)].SetFact("bundle", 1, []byte("one"))
-		c.fabric.block(func(string, string) bool { return false })
-		t.Logf("met again in %v", c.await(time.Minute, c.allAlive))
+		c.network.block(func(string, string) bool { return false })
+		t.Logf("reconnected in %v", c.waitFor(time.Minute, c.allAlive))
 		agreed := func() bool {
-			return c.everybody(func(running *node) bool {
+			return c.allNodes(func(running *node) bool {
 				fact, _ := running.Fact("bundle")
 				return fact.Version == 2 && string(fact.Value) == "two"
 			})
 		}
-		c.await(30*time.Second, agreed)
+		c.waitFor(30*time.Second, agreed)
 	})
 }
 
@@ -59,31 +59,31 @@
 	return count
 }
 
-func TestOneWayLossBetweenTwoNodesKillsNeither(t *testing.T) {
+func TestOneWayLossBetweenTwoNodesDeclaresNeitherDead(t *testing.T) {
 	run(t, 2, func(is *is.I, c *cluster) {
 		c.startAll(12)
-		c.await(30*time.Second, c.allAlive)
-		c.fabric.block(func(from, to string) bool { return from == nodeAddress(3) && to == nodeAddress(5) })
+		c.waitFor(30*time.Second, c.allAlive)
+		c.network.block(func(from, to string) bool { return from == nodeAddress(3) && to == nodeAddress(5) })
 		for range 1200 {
 			time.Sleep(100 * time.Millisecond)
 			synctest.Wait()
-			is.True(c.everybody(func(running *node) bool {
+			is.True(c.allNodes(func(running *node) bool {
 				return running.stateOf(nodeName(3)) != StateDead && running.stateOf(nodeName(5)) != StateDead
 			}))
 		}
 	})
 }
 
-func TestRandomLossKillsNobody(t *testing.T) {
+func TestRandomLossDeclaresNoNodeDead(t *testing.T) {
 	run(t, 3, func(is *is.I, c *cluster) {
 		c.startAll(30)
-		c.await(30*time.Second, c.allAlive)
+		c.waitFor(30*time.Second, c.allAlive)
 		random := rand.New(rand.NewPCG(1, 1))
-		c.fabric.block(func(string, string) bool { return random.IntN(10) == 0 })
+		c.network.block(func(string, string) bool { return random.IntN(10) == 0 })
 		for range 240 {
 			time.Sleep(500 * time.Millisecond)
 			synctest.Wait()
-			is.True(c.everybody(func(running *node) bool { return running.countOf(StateDead) == 0 }))
+			is.True(c.allNodes(func(running *node) bool { return running.countOf(StateDead) == 0 }))
 		}
 	})
 }
@@ -101,33 +101,33 @@
 func TestNodeReplacedAtTheSameAddress(t *testing.T) {
 	run(t, 2, func(is *is.I, c *cluster) {
 		c.startAll(12)
-		c.await(30*time.Second, c.allAlive)
+		c.waitFor(30*time.Second, c.allAlive)
 		c.crash(nodeName(5))
 		c.startAs("replacement", 5, 1)
 		replaced := func() bool {
-			return c.everybody(func(running *node) bool {
+			return c.allNodes(func(running *node) bool {
 				return running.stateOf(nodeName(5)) == StateDead || running.Self().Node == "replacement"
 			})
 		}
-		t.Logf("replaced in %v", c.await(30*time.Second, func() bool { return replaced() && c.allAlive() }))
+		t.Logf("replacement detected in %v", c.waitFor(30*time.Second, func() bool { return replaced() && c.allAlive() }))
 		for range 100 {
 			time.Sleep(500 * time.Millisecond)
 			synctest.Wait()
-			is.True(replaced()) // what answers at its address is not taken for the old node
+			is.True(replaced()) // the new node at its address is not mistaken for the old one
 		}
 	})
 }
 
-func TestRestartedProcessIsTakenForTheLaterOne(t *testing.T) {
-	for _, incarnation := range []uint64{2, 0} { // 0: its clock is behind that of the earlier process
+func TestRestartedProcessReplacesEarlierIncarnation(t *testing.T) {
+	for _, incarnation := range []uint64{2, 0} { // 0: the clock of the new process is behind that of the earlier one
 		run(t, 2, func(is *is.I, c *cluster) {
 			c.startAll(12)
-			c.await(30*time.Second, c.allAlive)
+			c.waitFor(30*time.Second, c.allAlive)
 			c.crash(nodeName(5))
 			c.startAs(nodeName(5), 5, incarnation)
-			c.await(30*time.Second, func() bool {
+			c.waitFor(30*time.Second, func() bool {
 				self := c.nodes[nodeName(5)].Self()
-				return self.Incarnation != 1 && c.allAlive() && c.everybody(func(running *node) bool {
+				return self.Incarnation != 1 && c.allAlive() && c.allNodes(func(running *node) bool {
 					return running.incarnationOf(nodeName(5)) == self.Incarnation
 				})
 			})
@@ -144,15 +144,15 @@
 	return 0
 }
 
-func TestProcessWithALaterOneElsewhereEnds(t *testing.T) {
+func TestRunEndsWhenLaterProcessRunsElsewhere(t *testing.T) {
 	run(t, 2, func(is *is.I, c *cluster) {
 		c.startAll(6)
-		c.await(30*time.Second, c.allAlive)
+		c.waitFor(30*time.Second, c.allAlive)
 		earlier := c.nodes[nodeName(5)]
 		c.startAs(nodeName(5), 7, 9)
 		<-earlier.done
 		is.True(errors.Is(earlier.err, ErrSuperseded))
-		c.await(30*time.Second, func() bool {
+		c.waitFor(30*time.Second, func() bool {
 			return c.allAlive() && c.nodes[nodeName(0)].incarnationOf(nodeName(5)) == 9
 		})
 	})
@@ -161,8 +161,8 @@
 func TestRandomBytesAreDroppedAndCounted(t *testing.T) {
 	run(t, 1, func(is *is.I, c *cluster) {
 		c.startAll(3)
-		c.await(30*time.Second, c.allAlive)
-		stranger, err := c.fabric.ListenPacket("10.9.9.9:1")
+		c.waitFor(30*time.Second, c.allAlive)
+		sender, err := c.network.ListenPacket("10.9.9.9:1")
 		is.NoErr(err)
 		random := rand.New(rand.NewPCG(1, 1))
 		target, err := net.ResolveUDPAddr("udp", nodeAddress(0))
@@ -173,42 +173,42 @@
 			for position := range garbage {
 				garbage[position] = byte(random.Uint32())
 			}
-			_, _ = stranger.WriteTo(garbage, target)
+			_, _ = sender.WriteTo(garbage, target)
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		hit := c.nodes[nodeName(0)]
-		hit.count(func() { is.Equal(hit.dropped[DropMalformed], count) })
+		receiver := c.nodes[nodeName(0)]
+		receiver.count(func() { is.Equal(receiver.dropped[DropMalformed], count) })
 		is.True(c.allAlive())
 	})
 }
 
-func TestFloodOfPingsCostsNoMoreThanTheBudget(t *testing.T) {
+func TestPingFloodStaysWithinByteBudget(t *testing.T) {
 	run(t, 1, func(is *is.I, c *cluster) {
 		c.startAll(6)
-		c.await(30*time.Second, c.allAlive)
+		c.waitFor(30*time.Second, c.allAlive)
 		time.Sleep(time.Minute)
-		hit := c.nodes[nodeName(0)]
-		stranger, err := c.fabric.ListenPacket("10.9.9.9:1")
+		receiver := c.nodes[nodeName(0)]
+		sender, err := c.network.ListenPacket("10.9.9.9:1")
 		is.NoErr(err)
 		target, err := net.ResolveUDPAddr("udp", nodeAddress(0))
 		is.NoErr(err)
-		before := hit.bytesSent()
+		before := receiver.bytesSent()
 		const seconds = 60
 		for sequence := range seconds * 100 {
 			ping := newEncoder(&header{Kind: packetPing, Sequence: uint32(sequence), From: "stranger"})
-			_, _ = stranger.WriteTo(ping.finish(""), target)
+			_, _ = sender.WriteTo(ping.finish(""), target)
 			time.Sleep(10 * time.Millisecond)
 		}
-		sent := hit.bytesSent() - before
+		sent := receiver.bytesSent() - before
 		is.True(sent > 0)
 		is.True(sent < DefaultBurstBytes+DefaultBytesPerSecond*seconds)
-		hit.count(func() { is.True(hit.dropped[DropOverBudget] > 0) })
+		receiver.count(func() { is.True(receiver.dropped[DropOverBudget] > 0) })
 	})
 }
 
-func TestLeaveAloneDoesNotWait(t *testing.T) {
+func TestLeaveWithoutPeersReturnsAtOnce(t *testing.T) {
 	run(t, 1, func(is *is.I, c *cluster) {
 		is.NoErr(c.start(0).Leave(context.Background()))
 		is.Equal(c.nodes[nodeName(0)].Self().State, StateLeaving)
--- a/internal/membership/leaving_test.go
+++ b/internal/membership/leaving_test.go
@@ -7,12 +7,15 @@
 	"github.com/matryer/is"
 )
 
-// TestLeavingIsLearnedAfterTheRefutationThatCameWithIt lets a header, which names the refutation alone, arrive before the
-// record that tells of the leaving.
-func TestLeavingIsLearnedAfterTheRefutationThatCameWithIt(t *testing.T) {
+// TestLeavingIsMergedAfterRefutationFromHeader delivers a header, which carries only the refutation number, before
+// the record with the leaving flag of the same refutation. The flag must be merged although the refutation is no
+// longer new.
+func TestLeavingIsMergedAfterRefutationFromHeader(t *testing.T) {
 	records := map[string]func(*protocol, *simulation, memberRecord) bool{
-		"short record": func(p *protocol, s *simulation, said memberRecord) bool { return p.mergeState(s.now, said.short()) },
-		"full record":  func(p *protocol, s *simulation, said memberRecord) bool { return p.mergeMember(s.now, said) },
+		"short record": func(p *protocol, s *simulation, reported memberRecord) bool {
+			return p.mergeState(s.now, reported.stateRecord())
+		},
+		"full record": func(p *protocol, s *simulation, reported memberRecord) bool { return p.mergeMember(s.now, reported) },
 	}
 	for name, merge := range records {
 		t.Run(name, func(t *testing.T) {
@@ -21,20 +24,20 @@
 			s.introduceAll()
 			other, leaver := s.nodes[0], s.nodes[1]
 			leaver.leave(s.now)
-			said := leaver.selfEntry().record
-			held := other.members[said.Node]
+			reported := leaver.selfEntry().record
+			entry := other.members[reported.Node]
 			other.mergeSender(s.now, netip.MustParseAddrPort(nodeAddress(1)), &header{
-				Kind: packetAck, From: said.Node, Incarnation: said.Incarnation, Refutation: said.Refutation,
+				Kind: packetAck, From: reported.Node, Incarnation: reported.Incarnation, Refutation: reported.Refutation,
 			})
-			is.Equal(held.record.Refutation, said.Refutation)
-			is.True(!held.record.Leaving)
-			is.True(merge(other, s, said))
-			is.True(held.record.Leaving)
-			is.True(!merge(other, s, said)) // no news the second time
-			said.Refutation++
-			said.Leaving = false // as from a third node that had only seen headers
-			is.True(merge(other, s, said))
-			is.True(held.record.Leaving)
+			is.Equal(entry.record.Refutation, reported.Refutation)
+			is.True(!entry.record.Leaving)
+			is.True(merge(other, s, reported))
+			is.True(entry.record.Leaving)
+			is.True(!merge(other, s, reported)) // not new the second time
+			reported.Refutation++
+			reported.Leaving = false // as reported by a third node that has only received headers
+			is.True(merge(other, s, reported))
+			is.True(entry.record.Leaving)
 		})
 	}
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,21 +1,21 @@
 package membership
 
-// State is what the cluster holds of a member.
+// State is the state of a member in this node's view of the cluster.
 type State uint8
 
 // States of a member.
 const (
-	// StateAlive says that the member answers.
+	// StateAlive means that the member answers.
 	StateAlive State = iota + 1
-	// StateSuspect says that the member has not answered some probe and may yet refute.
+	// StateSuspect means that the member did not answer a probe and may still refute the suspicion.
 	StateSuspect
-	// StateLeaving says that the member has announced a planned stop; it still answers.
+	// StateLeaving means that the member has announced a planned stop; it still answers.
 	StateLeaving
-	// StateDead says that the member is gone, until it shows up again.
+	// StateDead means that the member is gone; it returns when a newer record of it arrives.
 	StateDead
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s State) String() string {
 	switch s {
 	case StateAlive:
@@ -35,11 +35,11 @@
 type Member struct {
 	// Node names the machine or process; it is unique in the cluster.
 	Node string
-	// Incarnation tells the processes of one node apart; a later process has the higher one.
+	// Incarnation distinguishes the processes of one node; a later process has a higher one.
 	Incarnation uint64
-	// GossipAddress is the "ip:port" where the member takes datagrams.
+	// GossipAddress is the "ip:port" where the member receives datagrams.
 	GossipAddress string
-	// PeerAddress is the "ip:port" where the member takes calls of the peer protocol.
+	// PeerAddress is the "ip:port" where the member accepts calls of the peer protocol.
 	PeerAddress string
 	Zone        string
 	Region      string
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,8 +1,8 @@
-// Package membership keeps each node's view of the cluster: who is there, by probes in the manner of SWIM over UDP, and
-// small facts that every node should know. Both spread by gossip. What a node sends is bounded by a byte budget and does
-// not grow with the cluster.
+// Package membership maintains each node's view of the cluster: its members, detected by SWIM-style probes over UDP,
+// and small facts that every node should know. Both are spread by gossip. The bytes that a node sends are limited by
+// a budget and do not grow with the cluster.
 //
-// Views may differ between nodes for a while; nothing whose safety matters may depend on them.
+// Views may differ between nodes for a while; nothing that is needed for safety may depend on them.
 package membership
 
 import (
@@ -19,12 +19,13 @@
 )
 
 // ErrSuperseded is returned by Run when a later process of the same node is alive at another address.
-var ErrSuperseded = errors.New("a later process of this node is alive elsewhere")
+var ErrSuperseded = errors.New("a later process of this node is alive at another address")
 
 const (
-	// receiveBacklog is how many datagrams wait for the loop; beyond it they wait in the socket.
+	// receiveBacklog is the number of received datagrams that are queued for the loop; further ones stay in the
+	// socket's buffer.
 	receiveBacklog = 64
-	// leavePollInterval is how often Leave looks whether its announcement has been sent.
+	// leavePollInterval is the interval at which Leave checks whether its announcement has been sent.
 	leavePollInterval = 20 * time.Millisecond
 )
 
@@ -34,14 +35,14 @@
 	payload []byte
 }
 
-// Membership is this process's part in the cluster. It is safe for concurrent use.
+// Membership is this process's participation in the cluster. It is safe for concurrent use.
 type Membership struct {
 	config     Config
 	connection net.PacketConn
-	// wake tells the loop that something was set from outside.
+	// wake notifies the loop of a change made by a caller.
 	wake chan struct{}
 
-	// mutex guards what follows. It is never held during I/O.
+	// mutex guards the fields below. It is never held during I/O.
 	mutex          sync.Mutex
 	protocol       *protocol
 	members        []Member
@@ -49,7 +50,7 @@
 	factsChanged   chan struct{}
 }
 
-// New checks config and opens the socket. Run must be called, since it closes the socket when it ends.
+// New validates config and opens the socket. Run must be called, since it closes the socket when it ends.
 func New(config Config) (*Membership, error) {
 	config, err := config.withDefaults()
 	if err != nil {
@@ -76,7 +77,7 @@
 	return m, nil
 }
 
-// checkReachable refuses an address that others could not send to.
+// checkReachable returns an error for an address that other nodes cannot send to.
 func checkReachable(text string) error {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -88,15 +89,15 @@
 	return nil
 }
 
-// Self returns this process as others know it.
+// Self returns this process as other members see it.
 func (m *Membership) Self() Member {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.protocol.selfEntry().member()
 }
 
-// Members returns all members known, this process and the dead not yet forgotten included, sorted by node. The slice is
-// shared and must not be changed.
+// Members returns all known members sorted by node, including this process and dead members that have not been
+// removed yet. The slice is shared and must not be changed.
 func (m *Membership) Members() []Member {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -106,58 +107,59 @@
 	return m.members
 }
 
-// Changed returns a channel that is closed at the next change of Members. Take the channel before the members.
+// Changed returns a channel that is closed at the next change of Members. Get the channel before reading the members.
 func (m *Membership) Changed() <-chan struct{} {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.membersChanged
 }
 
-// SetFact sets a fact and spreads it. Setting a version that is not newer has no effect. Key may have up to 128 bytes
-// and value up to MaxFactBytes; more is a fault of the caller, which is logged, and has no effect.
+// SetFact sets a fact and gossips it. Setting a version that is not newer has no effect. Key may have up to 128 bytes
+// and value up to MaxFactBytes. Exceeding these is an error of the caller, which is logged and has no effect.
 func (m *Membership) SetFact(key string, version uint64, value []byte) {
 	if !validFact(key, value) {
 		m.config.Logger.Error("fact is out of bounds", "key", key, "bytes", len(value))
 		return
 	}
-	m.change(func(now time.Time) {
+	m.update(func(now time.Time) {
 		fact := Fact{Key: key, Version: version, Value: value}
 		m.protocol.mergeFact(now, fact.copy(), 0)
 	})
 }
 
-// Fact returns the fact of a key; false where there is none.
+// Fact returns the fact of a key, or false if there is none.
 func (m *Membership) Fact(key string) (Fact, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	held := m.protocol.facts[key]
-	if held == nil {
+	entry := m.protocol.facts[key]
+	if entry == nil {
 		return Fact{}, false
 	}
-	return held.fact.copy(), true
+	return entry.fact.copy(), true
 }
 
 // Facts returns the facts whose keys begin with prefix, sorted by key.
 func (m *Membership) Facts(prefix string) []Fact {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.protocol.factsWith(prefix)
+	return m.protocol.factsWithPrefix(prefix)
 }
 
-// FactsChanged returns a channel that is closed at the next change of any fact. Take the channel before the facts.
+// FactsChanged returns a channel that is closed at the next change of any fact. Get the channel before reading the
+// facts.
 func (m *Membership) FactsChanged() <-chan struct{} {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.factsChanged
 }
 
-// Leave announces that this process stops as planned. It returns once the announcement has been sent as often as
-// urgent news is, or with the context's error. Run goes on answering until its own context ends.
+// Leave announces a planned stop of this process. It returns once the announcement has reached the send limit of
+// urgent updates, or with the context's error. Run keeps answering until its own context ends.
 func (m *Membership) Leave(ctx context.Context) error {
-	m.change(m.protocol.leave)
+	m.update(m.protocol.leave)
 	ticker := time.NewTicker(leavePollInterval)
 	defer ticker.Stop()
-	for !m.announced() {
+	for !m.leaveAnnounced() {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -167,19 +169,20 @@
 	return nil
 }
 
-// announced tells whether this node has told its leaving directly as often as it will, or nobody is there to be told.
-func (m *Membership) announced() bool {
+// leaveAnnounced reports whether this node has sent its leaving announcement directly up to the send limit, or has no
+// peers.
+func (m *Membership) leaveAnnounced() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	_, queued := m.protocol.urgent.items[memberKey(m.config.Self.Node)]
+	_, queued := m.protocol.urgentQueue.items[memberKey(m.config.Self.Node)]
 	return !queued || m.protocol.currentPeers().count() == 0
 }
 
-// change applies a change from outside and wakes the loop to send what came of it.
-func (m *Membership) change(apply func(now time.Time)) {
+// update applies a change made by a caller and wakes the loop to send the resulting datagrams.
+func (m *Membership) update(apply func(now time.Time)) {
 	m.mutex.Lock()
 	apply(time.Now())
-	m.publish()
+	m.notifyChanges()
 	m.mutex.Unlock()
 	select {
 	case m.wake <- struct{}{}:
@@ -187,8 +190,8 @@
 	}
 }
 
-// publish tells users of changes. The mutex must be held.
-func (m *Membership) publish() {
+// notifyChanges notifies callers of changes of members and facts. The mutex must be held.
+func (m *Membership) notifyChanges() {
 	if m.protocol.membersChanged {
 		m.protocol.membersChanged = false
 		m.members = nil
@@ -202,8 +205,8 @@
 	}
 }
 
-// Run takes part in the cluster until ctx ends, which returns nil, or until it cannot, which returns the error. It closes
-// the socket. It must be called once.
+// Run participates in the cluster until ctx ends, in which case it returns nil, or until an error occurs, which it
+// returns. It closes the socket. It must be called once.
 func (m *Membership) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	incoming := make(chan datagram, receiveBacklog)
@@ -221,10 +224,10 @@
 	return oops.In("membership").With("node", m.config.Self.Node).Wrap(err)
 }
 
-// errStopped ends the group of goroutines when the loop has ended as asked.
+// errStopped ends the group of goroutines after the context of Run has ended.
 var errStopped = errors.New("membership has stopped")
 
-// loop drives the protocol. All datagrams are sent from here.
+// loop drives the protocol. It is the only sender of datagrams.
 func (m *Membership) loop(ctx context.Context, incoming <-chan datagram, seeds <-chan []netip.AddrPort) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -232,7 +235,7 @@
 		var step func(now time.Time)
 		select {
 		case <-ctx.Done():
-			m.step(m.protocol.farewell)
+			m.step(m.protocol.announceExit)
 			return errStopped
 		case received := <-incoming:
 			step = func(now time.Time) { m.protocol.receive(now, received.from, received.payload) }
@@ -251,11 +254,11 @@
 	}
 }
 
-// step lets the protocol make one step, and sends what it wants sent.
+// step applies one event to the protocol and sends the resulting datagrams.
 func (m *Membership) step(apply func(now time.Time)) (nextWake time.Time, superseded bool) {
 	m.mutex.Lock()
 	apply(time.Now())
-	m.publish()
+	m.notifyChanges()
 	outbox := m.protocol.outbox
 	m.protocol.outbox = nil
 	nextWake = m.protocol.nextWake()
@@ -277,9 +280,9 @@
 	m.config.Observer.sent(len(datagram.payload))
 }
 
-// receiveLoop hands datagrams to the loop until the socket is closed.
+// receiveLoop passes datagrams to the loop until the socket is closed.
 func (m *Membership) receiveLoop(ctx context.Context, incoming chan<- datagram) error {
-	// One byte more than is allowed, so that what is too long is seen to be.
+	// One byte more than the maximum, so that datagrams that are too long are detected.
 	buffer := make([]byte, maxPacketBytes+1)
 	for {
 		size, from, err := m.connection.ReadFrom(buffer)
@@ -287,8 +290,9 @@
 			return nil
 		}
 		if err != nil {
-			// The system reports here that an earlier datagram could not be delivered, which is no fault of the socket.
-			if !pause(ctx, m.config.Timing.ProbeInterval/ticksPerProbe) {
+			// The operating system reports here that an earlier datagram could not be delivered; the socket still
+			// works.
+			if !sleep(ctx, m.config.Timing.ProbeInterval/ticksPerProbe) {
 				return nil
 			}
 			continue
@@ -306,7 +310,7 @@
 	}
 }
 
-// seedLoop asks for the seeds now and then, and more often while nobody is known.
+// seedLoop calls Seeds every SeedInterval, and every ProbeInterval while no member is known.
 func (m *Membership) seedLoop(ctx context.Context, seeds chan<- []netip.AddrPort) error {
 	for {
 		var addresses []netip.AddrPort
@@ -321,23 +325,23 @@
 			return nil
 		}
 		interval := m.config.Timing.SeedInterval
-		if m.alone() {
+		if m.isolated() {
 			interval = m.config.Timing.ProbeInterval
 		}
-		if !pause(ctx, interval) {
+		if !sleep(ctx, interval) {
 			return nil
 		}
 	}
 }
 
-func (m *Membership) alone() bool {
+func (m *Membership) isolated() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.protocol.currentPeers().count() == 0
 }
 
-// pause waits, and tells whether the context still goes on.
-func pause(ctx context.Context, wait time.Duration) bool {
+// sleep waits for the given time and returns false if ctx ended first.
+func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -11,7 +11,7 @@
 	"github.com/hillfork/hillfork/internal/network"
 )
 
-// run runs body with a cluster in virtual time.
+// run calls body with a cluster in virtual time.
 func run(t *testing.T, zones int, body func(is *is.I, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, zones)
@@ -20,84 +20,86 @@
 	})
 }
 
-func TestFiftyNodesJoinAndACrashIsSeenEverywhere(t *testing.T) {
+func TestFiftyNodesJoinAndDetectCrash(t *testing.T) {
 	run(t, 3, func(is *is.I, c *cluster) {
 		c.startAll(50)
-		t.Logf("50 nodes joined in %v", c.await(30*time.Second, c.allAlive))
+		t.Logf("50 nodes joined in %v", c.waitFor(30*time.Second, c.allAlive))
 		c.crash(nodeName(7))
 		crashSeen := func() bool {
-			return c.everybody(func(running *node) bool { return running.stateOf(nodeName(7)) == StateDead })
+			return c.allNodes(func(running *node) bool { return running.stateOf(nodeName(7)) == StateDead })
 		}
-		t.Logf("crash seen everywhere in %v", c.await(30*time.Second, crashSeen))
-		is.True(c.allAlive()) // nobody else was declared dead
+		t.Logf("all nodes detected the crash in %v", c.waitFor(30*time.Second, crashSeen))
+		is.True(c.allAlive()) // no other node was declared dead
 	})
 }
 
-func TestPlannedLeavingIsSeenWithinTwoSeconds(t *testing.T) {
+func TestPlannedLeaveReachesAllNodesWithinTwoSeconds(t *testing.T) {
 	run(t, 3, func(is *is.I, c *cluster) {
 		c.startAll(50)
-		c.await(30*time.Second, c.allAlive)
+		c.waitFor(30*time.Second, c.allAlive)
 		leaver := c.nodes[nodeName(9)]
 		begin := time.Now()
 		is.NoErr(leaver.Leave(context.Background()))
 		seen := func(state State) func() bool {
 			return func() bool {
-				return c.everybody(func(running *node) bool { return running.stateOf(nodeName(9)) == state })
+				return c.allNodes(func(running *node) bool { return running.stateOf(nodeName(9)) == state })
 			}
 		}
-		c.await(2*time.Second, seen(StateLeaving))
-		t.Logf("leaving seen everywhere in %v", time.Since(begin))
+		c.waitFor(2*time.Second, seen(StateLeaving))
+		t.Logf("all nodes learned of the leaving in %v", time.Since(begin))
 		time.Sleep(30 * time.Second)
-		is.True(seen(StateLeaving)()) // it goes on answering and so is not suspected
+		is.True(seen(StateLeaving)()) // the leaver still answers, so it is not suspected
 		leaver.stop()
 		delete(c.nodes, nodeName(9))
-		c.await(3*time.Second, seen(StateDead)) // its farewell is faster than any suspicion
+		c.waitFor(3*time.Second, seen(StateDead)) // the exit announcement is faster than any suspicion
 	})
 }
 
-func TestPausedNodeRejoinsAndDeclaresNobodyDead(t *testing.T) {
+// TestPausedNodeRejoinsWithoutDeclaringMembersDead checks that a resumed process does not take deadlines that passed
+// during its pause for failures of other members.
+func TestPausedNodeRejoinsWithoutDeclaringMembersDead(t *testing.T) {
 	run(t, 3, func(is *is.I, c *cluster) {
 		c.startAll(30)
-		c.await(30*time.Second, c.allAlive)
+		c.waitFor(30*time.Second, c.allAlive)
 		paused := c.nodes[nodeName(4)]
 		socket := paused.connection.(*socket)
 		socket.pause()
-		heldDead := func() bool { return c.nodes[nodeName(0)].stateOf(nodeName(4)) == StateDead }
-		c.await(time.Minute, heldDead)
+		declaredDead := func() bool { return c.nodes[nodeName(0)].stateOf(nodeName(4)) == StateDead }
+		c.waitFor(time.Minute, declaredDead)
 		time.Sleep(time.Minute)
 		socket.resume()
 		for range 400 {
 			time.Sleep(50 * time.Millisecond)
 			synctest.Wait()
 			for _, member := range paused.Members() {
-				is.True(member.State != StateDead) // the pause proves nothing about others
+				is.True(member.State != StateDead) // missed deadlines prove nothing about other members
 			}
 		}
 		is.True(c.allAlive())
 	})
 }
 
-func TestRestartsCostLittleAndSettle(t *testing.T) {
+func TestFrequentRestartsUseFewBytesAndConverge(t *testing.T) {
 	run(t, 6, func(is *is.I, c *cluster) {
 		const size, restarts = 100, 15
-		c.startKnown(size)
+		c.startIntroduced(size)
 		time.Sleep(10 * time.Second)
 		before := c.bytesSent()
-		lost := 0 // what the processes that ended had sent is counted no more
+		sentByEnded := 0 // bytes sent by crashed processes, which bytesSent no longer counts
 		for number := range restarts {
-			lost += c.nodes[nodeName(20+number)].bytesSent()
+			sentByEnded += c.nodes[nodeName(20+number)].bytesSent()
 			c.crash(nodeName(20 + number))
 			c.startAs(nodeName(20+number), 20+number, 2)
 			time.Sleep(2 * time.Second)
 		}
-		perNode := float64(c.bytesSent()+lost-before) / size / (restarts * 2)
+		perNode := float64(c.bytesSent()+sentByEnded-before) / size / (restarts * 2)
 		t.Logf("a restart every 2 s among %d nodes: %.0f bytes a second each", size, perNode)
 		is.True(perNode < DefaultBytesPerSecond/2)
-		c.await(30*time.Second, c.allAlive)
+		c.waitFor(30*time.Second, c.allAlive)
 	})
 }
 
-func TestNodesMeetOverTheSystemsSockets(t *testing.T) {
+func TestNodesJoinOverSystemSockets(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 2)
@@ -126,8 +128,8 @@
 	is.NoErr(<-ended)
 }
 
-func TestConfigurationsThatCannotWorkAreRefused(t *testing.T) {
-	for name, spoil := range map[string]func(config *Config){
+func TestNewRejectsInvalidConfig(t *testing.T) {
+	for name, invalidate := range map[string]func(config *Config){
 		"no network":          func(config *Config) { config.Network = nil },
 		"no name":             func(config *Config) { config.Self.Node = "" },
 		"peer address":        func(config *Config) { config.Self.PeerAddress = "host:1" },
@@ -135,8 +137,8 @@
 		"unspecified address": func(config *Config) { config.Self.GossipAddress = "0.0.0.0:7000" },
 	} {
 		t.Run(name, func(t *testing.T) {
-			config := Config{Self: Member{Node: "node"}, Network: newFabric(), ListenAddress: "10.0.0.1:7000"}
-			spoil(&config)
+			config := Config{Self: Member{Node: "node"}, Network: newFakeNetwork(), ListenAddress: "10.0.0.1:7000"}
+			invalidate(&config)
 			_, err := New(config)
 			is.New(t).True(err != nil)
 		})
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -2,25 +2,26 @@
 
 //go:generate go tool msgp -file message.go -tests=false -io=false -unexported
 
-// packetKind tells what a datagram is for.
+// packetKind is the purpose of a datagram.
 type packetKind uint8
 
 const (
-	// packetPing asks its target for an ack.
+	// packetPing requests an ack from its target.
 	packetPing packetKind = iota + 1
-	// packetAck answers a ping; its target is the one who answers.
+	// packetAck answers a ping; its target is the member that answers.
 	packetAck
-	// packetPingRequest asks the receiver to ping the target at TargetAddress, and to pass the ack on.
+	// packetPingRequest requests the receiver to ping the target at TargetAddress and to forward the ack.
 	packetPingRequest
 	// packetGossip only carries records.
 	packetGossip
-	// packetSyncRequest asks whether the records of a range of keys are the same, or for those that differ.
+	// packetSyncRequest requests a comparison of a range of keys, or the records of the range that differ.
 	packetSyncRequest
-	// packetSyncReply answers packetSyncRequest, a detailed one with records from Cursor up to Next.
+	// packetSyncReply answers packetSyncRequest; the reply to a detailed request carries records from Cursor up to
+	// Next.
 	packetSyncReply
-	// packetUrgent carries records like packetGossip, outside the share of the budget that news has.
+	// packetUrgent carries records like packetGossip, but is not charged to the budget of updates.
 	packetUrgent
-	// packetIntroduction carries the sender's own record to one who does not have it.
+	// packetIntroduction carries the sender's own record to a receiver that does not have it.
 	packetIntroduction
 	// packetSyncPush carries records that the sender of a sync reply lacks.
 	packetSyncPush
@@ -31,39 +32,40 @@
 //msgp:tuple stateRecord
 //msgp:tuple factRecord
 
-// header opens a datagram. Records follow it up to the end of the datagram.
+// header is the start of a datagram. Records follow it up to the end of the datagram.
 type header struct {
 	Kind     packetKind
 	Sequence uint32
-	// From names the sender, with its present Incarnation and Refutation.
+	// From is the name of the sender; Incarnation and Refutation are its current ones.
 	From        string
 	Incarnation uint64
 	Refutation  uint32
-	// Introduce asks the receiver to send its own memberRecord, since the sender does not have it.
+	// Introduce requests the receiver's own memberRecord, which the sender does not have.
 	Introduce bool
-	// Target is the member that a ping is meant for or that an ack comes from; empty where the sender of a ping knows
-	// only an address.
+	// Target is the member that a ping is meant for or that an ack comes from. It is empty if the sender of a ping
+	// only knows an address.
 	Target        string
 	TargetAddress []byte
-	// Cursor and End bound the keys of a sync, both exclusive and inclusive in this order; an empty End has no bound.
+	// Cursor and End are the bounds of the keys of a sync: Cursor is exclusive and End inclusive. An empty End means
+	// no bound.
 	Cursor string
 	End    string
-	// Digest is that of the sender's records in the range of a sync request.
+	// Digest is the digest of the sender's records in the range of a sync request.
 	Digest uint64
-	// Detailed says that a sync request carries fingerprints and wants the records that differ. Others only want to know
-	// whether the range is equal.
+	// Detailed means that a sync request carries fingerprints and requests the records that differ. Other sync
+	// requests only query whether the range is equal.
 	Detailed bool
-	// Fingerprints are those of the sender's records in the range, in the order of their keys.
+	// Fingerprints are the fingerprints of the sender's records in the range, in the order of their keys.
 	Fingerprints []byte
-	// Missing has a bit for each of the fingerprints of the request that the sender of a sync reply has no record of.
+	// Missing is a bitmap of the request's fingerprints for which the sender of a sync reply has no record.
 	Missing []byte
-	// Next is the last key that a sync reply covers; empty when it reached the end of all keys.
+	// Next is the last key that a sync reply covers; empty if it reached the end of all keys.
 	Next string
-	// Equal says that the digests of a sync were the same.
+	// Equal means that the digests of a sync were equal.
 	Equal bool
 }
 
-// recordKind tells what record follows.
+// recordKind is the type of the record that follows.
 type recordKind uint8
 
 const (
@@ -72,7 +74,7 @@
 	recordFact
 )
 
-// memberRecord tells all about a member.
+// memberRecord holds all fields of a member.
 type memberRecord struct {
 	Node          string
 	Incarnation   uint64
@@ -85,28 +87,28 @@
 	Region        string
 }
 
-// stateRecord tells a change of a member that the receiver is expected to know.
+// stateRecord is a change of a member that the receiver is expected to know.
 type stateRecord struct {
 	Node        string
 	Incarnation uint64
 	Refutation  uint32
 	Condition   condition
 	Leaving     bool
-	// Suspecter is who found that the member does not answer; empty unless it is suspect.
+	// Suspecter is the member that did not get an answer from a suspect; empty unless the member is suspect.
 	Suspecter string
 }
 
-// factRecord tells a fact.
+// factRecord is a fact as sent.
 type factRecord struct {
 	Key     string
 	Version uint64
 	Value   []byte
-	// AgeSeconds is how long ago the fact was set, rounded up.
+	// AgeSeconds is the time since the fact was set, rounded up.
 	AgeSeconds uint32
 }
 
-// condition is how a member is seen. Of two records of the same incarnation and refutation the one of the higher
-// condition wins.
+// condition is a member's condition as seen by others. Of two records of the same incarnation and refutation the one
+// with the higher condition wins.
 type condition uint8
 
 const (
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// peers lists the members, this node and the dead aside, by whether they are in this node's zone.
+// peers lists the members except this node and the dead ones, split into those in this node's zone and all others.
 type peers struct {
 	local  []string
 	remote []string
 }
 
-// all is how many peers there are.
+// count returns the number of peers.
 func (p *peers) count() int { return len(p.local) + len(p.remote) }
 
-// currentPeers returns the peers, listed anew only after members came or went.
+// currentPeers returns the peers. The list is rebuilt only after a change of the members.
 func (p *protocol) currentPeers() *peers {
 	if p.peersValid {
 		return &p.peers
@@ -35,18 +35,18 @@
 	return &p.peers
 }
 
-// pickPeers returns up to count different peers, one of them from anywhere and the others from this node's zone as far
-// as it has them. Nodes in exclude are not picked.
+// pickPeers returns up to count different peers: one from any zone and the others from this node's zone as far as it
+// has enough. Nodes in exclude are not picked.
 func (p *protocol) pickPeers(count int, exclude ...string) []string {
 	var picked []string
-	if node, found := p.pickAnywhere(exclude); found {
+	if node, found := p.pickAnyZone(exclude); found {
 		picked = append(picked, node)
 	}
 	for len(picked) < count {
-		taken := slices.Concat(exclude, picked)
-		node, found := p.pickFrom(p.currentPeers().local, taken)
+		excluded := slices.Concat(exclude, picked)
+		node, found := p.pickFrom(p.currentPeers().local, excluded)
 		if !found {
-			node, found = p.pickFrom(p.currentPeers().remote, taken)
+			node, found = p.pickFrom(p.currentPeers().remote, excluded)
 		}
 		if !found {
 			break
@@ -56,15 +56,16 @@
 	return picked
 }
 
-// pickUrgentPeers returns the peers that urgent news goes to: some at random, then this node's neighbours in the order of names. Random
-// choices alone leave out some node now and then, however few they are; a neighbour that has the news does not.
+// pickUrgentPeers returns the peers that urgent updates are sent to: some at random, then this node's neighbours in the
+// order of names. Random choices alone occasionally leave out a node, however few nodes there are; a node's neighbours
+// always send it the update once they have it.
 func (p *protocol) pickUrgentPeers() []string {
 	neighbours := p.neighbours()
 	picked := p.pickPeers(max(1, p.config.Timing.FanOut-len(neighbours)), neighbours...)
 	return append(picked, neighbours...)
 }
 
-// neighbours returns the peers next to this node in the order of names, whose ends are joined: two, or one where there is no other.
+// neighbours returns the peers next to this node in the ring of names: two, or one if there is no other.
 func (p *protocol) neighbours() []string {
 	current := p.currentPeers()
 	nodes := slices.Concat(current.local, current.remote)
@@ -77,8 +78,8 @@
 	return slices.Compact([]string{nodes[above%len(nodes)], nodes[below%len(nodes)]})
 }
 
-// pickAnywhere returns a random peer of any zone.
-func (p *protocol) pickAnywhere(exclude []string) (string, bool) {
+// pickAnyZone returns a random peer of any zone.
+func (p *protocol) pickAnyZone(exclude []string) (string, bool) {
 	current := p.currentPeers()
 	if current.count() == 0 {
 		return "", false
@@ -93,8 +94,8 @@
 	return p.pickFrom(second, exclude)
 }
 
-// pickFrom returns a random node of list that is not excluded. It starts at a random place and goes on from there, which
-// costs no more than the excluded nodes are many.
+// pickFrom returns a random node of list that is not in exclude. It scans the list from a random index, so it skips
+// at most as many nodes as are excluded.
 func (p *protocol) pickFrom(list []string, exclude []string) (string, bool) {
 	if len(list) == 0 {
 		return "", false
@@ -109,12 +110,12 @@
 	return "", false
 }
 
-// probeOrder visits a list of nodes in random order, each once before any is visited again.
+// probeOrder visits a list of nodes in random order, each once per round.
 type probeOrder struct {
 	remaining []string
 }
 
-// next returns the next node that valid accepts; source lists the nodes of a new round.
+// next returns the next node for which valid returns true; source lists the nodes of a new round.
 func (o *probeOrder) next(source []string, shuffle func([]string), valid func(string) bool) (string, bool) {
 	for round := 0; round < 2; round++ {
 		for len(o.remaining) > 0 {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// remoteProbeEvery is how often a probe goes to another zone: one of so many.
+	// remoteProbeEvery is the ratio of all probes to those that go to another zone.
 	remoteProbeEvery = 4
-	// relayLifetime is how many probe intervals a probe on behalf of another is remembered.
-	relayLifetime = 2
-	// seedsAtOnce is how many seeds are tried at a time while nobody is known.
-	seedsAtOnce = 3
-	// maxLoneDoublings bounds the growth of the pause between attempts to find anybody.
-	maxLoneDoublings = 3
-	// referralCount is how many others a newcomer is told of with the first answer.
+	// relayLifetimeProbes is how long a ping on behalf of another member is kept, in probe intervals.
+	relayLifetimeProbes = 2
+	// seedsPerAttempt is the number of seeds and dead members pinged per attempt while no peer is known.
+	seedsPerAttempt = 3
+	// maxIsolatedDoublings limits how often the interval between attempts is doubled while no peer is known.
+	maxIsolatedDoublings = 3
+	// referralCount is the number of other members that a new member is informed of with its first ack.
 	referralCount = 4
 )
 
@@ -25,17 +25,17 @@
 	target      string
 	incarnation uint64
 	refutation  uint32
-	// indirectAt is when others are asked; zero once they have been.
+	// indirectAt is when other members are requested to probe; zero once they have been.
 	indirectAt time.Time
 	failsAt    time.Time
 }
 
 // relay is a ping on behalf of another member.
 type relay struct {
-	target    string
-	requester netip.AddrPort
-	sequence  uint32
-	endsAt    time.Time
+	target          string
+	requester       netip.AddrPort
+	requestSequence uint32
+	expiresAt       time.Time
 }
 
 func (p *protocol) nextSequence() uint32 {
@@ -43,7 +43,7 @@
 	return p.sequence
 }
 
-// startProbe pings the next member in turn.
+// startProbe pings the next member of the probe order.
 func (p *protocol) startProbe(now time.Time) {
 	target, found := p.nextTarget()
 	if !found {
@@ -61,7 +61,7 @@
 	p.sendTo(now, target, &header{Kind: packetPing, Sequence: sequence, Target: target})
 }
 
-// nextTarget chooses mostly members of this node's zone, so that traffic between zones stays constant and small.
+// nextTarget mostly selects members of this node's zone, so that the traffic between zones stays constant and small.
 func (p *protocol) nextTarget() (string, bool) {
 	p.probeCount++
 	current := p.currentPeers()
@@ -87,38 +87,38 @@
 	p.random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 }
 
-// isPeer tells whether node is known, not dead, and not this one.
+// isPeer reports whether node is a known member that is neither dead nor this node.
 func (p *protocol) isPeer(node string) bool {
-	held := p.members[node]
-	return held != nil && held.record.Condition != conditionDead && node != p.config.Self.Node
+	entry := p.members[node]
+	return entry != nil && entry.record.Condition != conditionDead && node != p.config.Self.Node
 }
 
-// checkProbes asks others where an ack is late, and suspects members that nobody reached.
+// checkProbes requests indirect probes for late acks, and suspects members whose probes have failed.
 func (p *protocol) checkProbes(now time.Time) {
 	for _, sequence := range slices.Sorted(maps.Keys(p.probes)) {
-		waiting := p.probes[sequence]
-		if !now.Before(waiting.failsAt) {
+		pending := p.probes[sequence]
+		if !now.Before(pending.failsAt) {
 			delete(p.probes, sequence)
-			p.suspect(now, waiting)
+			p.suspect(now, pending)
 			continue
 		}
-		if !waiting.indirectAt.IsZero() && !now.Before(waiting.indirectAt) {
-			waiting.indirectAt = time.Time{}
-			p.probeIndirectly(now, sequence, waiting.target)
+		if !pending.indirectAt.IsZero() && !now.Before(pending.indirectAt) {
+			pending.indirectAt = time.Time{}
+			p.probeIndirectly(now, sequence, pending.target)
 		}
 	}
-	for sequence, helping := range p.relays {
-		if !now.Before(helping.endsAt) {
+	for sequence, relayed := range p.relays {
+		if !now.Before(relayed.expiresAt) {
 			delete(p.relays, sequence)
 		}
 	}
 }
 
-// probeIndirectly asks others to ping target, one of them wherever it may be, since the way out of this zone may be the
-// one that is cut.
+// probeIndirectly requests other members to ping target. One of them is in another zone if possible, since the
+// network link out of this zone may be the one that is down.
 func (p *protocol) probeIndirectly(now time.Time, sequence uint32, target string) {
-	held := p.members[target]
-	if held == nil {
+	entry := p.members[target]
+	if entry == nil {
 		return
 	}
 	for _, helper := range p.pickHelpers(target) {
@@ -126,7 +126,7 @@
 			Kind:          packetPingRequest,
 			Sequence:      sequence,
 			Target:        target,
-			TargetAddress: held.record.GossipAddress,
+			TargetAddress: entry.record.GossipAddress,
 		})
 	}
 }
@@ -148,25 +148,26 @@
 	return helpers
 }
 
-// suspect puts a member under suspicion, unless it has said something newer since the probe.
+// suspect marks the target of a failed probe as suspect, unless the target's incarnation or refutation is newer than
+// the probe.
 func (p *protocol) suspect(now time.Time, failed *probe) {
-	held := p.members[failed.target]
-	if held == nil || held.record.Condition == conditionDead {
+	entry := p.members[failed.target]
+	if entry == nil || entry.record.Condition == conditionDead {
 		return
 	}
-	if held.record.Incarnation != failed.incarnation || held.record.Refutation != failed.refutation {
+	if entry.record.Incarnation != failed.incarnation || entry.record.Refutation != failed.refutation {
 		return
 	}
-	found := held.record.short()
-	found.Condition = conditionSuspect
-	found.Suspecter = p.config.Self.Node
-	p.mergeState(now, found)
+	suspected := entry.record.stateRecord()
+	suspected.Condition = conditionSuspect
+	suspected.Suspecter = p.config.Self.Node
+	p.mergeState(now, suspected)
 }
 
-// receivePing answers a ping. One that was meant for another node at this address is answered too: the ack names who is
-// here now.
+// receivePing answers a ping. A ping that was meant for another node at this address is answered too: the ack
+// contains the name of the node that is at the address now.
 func (p *protocol) receivePing(now time.Time, from netip.AddrPort, ping *header) {
-	if !p.budget.allowsAnswer() {
+	if !p.budget.allowsResponse() {
 		p.config.Observer.dropped(DropOverBudget)
 		return
 	}
@@ -177,20 +178,20 @@
 	if ping.Target == "" {
 		records = append(records, p.referrals(ping.From)...)
 	}
-	p.answer(now, from, ping.From, &header{
+	p.respond(now, from, ping.From, &header{
 		Kind:     packetAck,
 		Sequence: ping.Sequence,
 		Target:   p.config.Self.Node,
 	}, records...)
 }
 
-// referrals returns the records of some random peers, so that many who join by the same few seeds at once do not depend
-// on these for all they have to learn.
+// referrals returns the records of some random peers, so that many nodes that join through the same few seeds at once
+// do not depend on these seeds alone to learn the members.
 func (p *protocol) referrals(newcomer string) [][]byte {
 	var records [][]byte
 	exclude := []string{newcomer}
 	for range referralCount {
-		node, found := p.pickAnywhere(exclude)
+		node, found := p.pickAnyZone(exclude)
 		if !found {
 			break
 		}
@@ -200,11 +201,11 @@
 	return records
 }
 
-// answer sends to the address that a datagram came from, which may differ from the one that its sender is known by.
-func (p *protocol) answer(now time.Time, to netip.AddrPort, node string, head *header, records ...[]byte) {
-	held := p.members[node]
-	head.Introduce = held == nil
-	if held != nil && held.record.Condition != conditionAlive {
+// respond sends to the address that a datagram came from, which may differ from its sender's known address.
+func (p *protocol) respond(now time.Time, to netip.AddrPort, node string, head *header, records ...[]byte) {
+	entry := p.members[node]
+	head.Introduce = entry == nil
+	if entry != nil && entry.record.Condition != conditionAlive {
 		records = append(records, p.encodeMember(node, false))
 	}
 	p.send(now, to, head, records...)
@@ -213,71 +214,71 @@
 // receivePingRequest pings a member on behalf of another.
 func (p *protocol) receivePingRequest(now time.Time, from netip.AddrPort, request *header) {
 	address, err := decodeAddress(request.TargetAddress)
-	if err != nil || !p.budget.allowsAnswer() {
+	if err != nil || !p.budget.allowsResponse() {
 		p.config.Observer.dropped(DropOverBudget)
 		return
 	}
 	sequence := p.nextSequence()
 	p.relays[sequence] = &relay{
-		target:    request.Target,
-		requester: from,
-		sequence:  request.Sequence,
-		endsAt:    now.Add(relayLifetime * p.config.Timing.ProbeInterval),
+		target:          request.Target,
+		requester:       from,
+		requestSequence: request.Sequence,
+		expiresAt:       now.Add(relayLifetimeProbes * p.config.Timing.ProbeInterval),
 	}
 	p.send(now, address, &header{Kind: packetPing, Sequence: sequence, Target: request.Target})
 }
 
-// receiveAck settles a probe, or passes the ack on to the member that asked for it.
+// receiveAck completes a probe, or forwards the ack to the member that requested the ping.
 func (p *protocol) receiveAck(now time.Time, ack *header) {
-	if helping := p.relays[ack.Sequence]; helping != nil {
+	if relayed := p.relays[ack.Sequence]; relayed != nil {
 		delete(p.relays, ack.Sequence)
-		if helping.target == ack.Target {
-			p.send(now, helping.requester, &header{Kind: packetAck, Sequence: helping.sequence, Target: ack.Target})
+		if relayed.target == ack.Target {
+			p.send(now, relayed.requester, &header{Kind: packetAck, Sequence: relayed.requestSequence, Target: ack.Target})
 		}
 		return
 	}
-	waiting := p.probes[ack.Sequence]
-	if waiting == nil {
+	pending := p.probes[ack.Sequence]
+	if pending == nil {
 		return
 	}
-	if waiting.target == ack.Target {
+	if pending.target == ack.Target {
 		delete(p.probes, ack.Sequence)
 		return
 	}
 	if ack.From == ack.Target {
 		delete(p.probes, ack.Sequence)
-		p.replaced(now, waiting)
+		p.declareReplaced(now, pending)
 	}
 }
 
-// replaced declares a member dead whose address is now another node's.
-func (p *protocol) replaced(now time.Time, waiting *probe) {
-	held := p.members[waiting.target]
-	if held == nil || held.record.Incarnation != waiting.incarnation {
+// declareReplaced declares a member dead whose address is now used by another node.
+func (p *protocol) declareReplaced(now time.Time, failed *probe) {
+	entry := p.members[failed.target]
+	if entry == nil || entry.record.Incarnation != failed.incarnation {
 		return
 	}
-	declared := held.record.short()
+	declared := entry.record.stateRecord()
 	declared.Condition = conditionDead
 	p.mergeState(now, declared)
 }
 
-// reconnect tries a dead member and a seed that no member is known at, so that parts of the cluster that were cut off
-// from each other meet again. While nobody is known it tries more, and more often.
+// reconnect pings a dead member and a seed at which no member is known, so that parts of the cluster that were
+// partitioned from each other reconnect. While no peer is known it pings more of them, at shorter intervals.
 func (p *protocol) reconnect(now time.Time) {
 	if now.Before(p.nextReconnect) {
 		return
 	}
-	alone := p.currentPeers().count() == 0
-	interval, tries := p.config.Timing.ReconnectInterval, 1
-	if alone {
-		interval, tries = p.config.Timing.ProbeInterval<<p.loneAttempts, seedsAtOnce
-		p.loneAttempts = min(p.loneAttempts+1, maxLoneDoublings)
+	isolated := p.currentPeers().count() == 0
+	interval, attempts := p.config.Timing.ReconnectInterval, 1
+	if isolated {
+		interval, attempts = p.config.Timing.ProbeInterval<<p.isolatedAttempts, seedsPerAttempt
+		p.isolatedAttempts = min(p.isolatedAttempts+1, maxIsolatedDoublings)
 	} else {
-		p.loneAttempts = 0
+		p.isolatedAttempts = 0
 	}
 	p.nextReconnect = now.Add(interval/2 + p.randomDuration(interval))
 	inUse := p.addressesInUse()
-	for range tries {
+	for range attempts {
 		p.pingDead(now, inUse)
 		p.pingSeed(now, inUse)
 	}
@@ -286,16 +287,16 @@
 // addressesInUse returns the addresses of this node and of the members that are not dead.
 func (p *protocol) addressesInUse() map[netip.AddrPort]bool {
 	inUse := make(map[netip.AddrPort]bool, len(p.members))
-	for _, held := range p.members {
-		address, err := decodeAddress(held.record.GossipAddress)
-		if err == nil && held.record.Condition != conditionDead {
+	for _, entry := range p.members {
+		address, err := decodeAddress(entry.record.GossipAddress)
+		if err == nil && entry.record.Condition != conditionDead {
 			inUse[address] = true
 		}
 	}
 	return inUse
 }
 
-// pingDead tells a random dead member that it is held dead.
+// pingDead pings a random dead member and informs it that it is considered dead.
 func (p *protocol) pingDead(now time.Time, inUse map[netip.AddrPort]bool) {
 	var dead []string
 	for _, key := range p.keys.between(memberKeyPrefix, "") {
@@ -312,7 +313,7 @@
 	p.sendTo(now, target, &header{Kind: packetPing, Sequence: p.nextSequence(), Target: target})
 }
 
-// pingSeed tries a random seed that no member is known at.
+// pingSeed pings a random seed at which no member is known.
 func (p *protocol) pingSeed(now time.Time, inUse map[netip.AddrPort]bool) {
 	var unknown []netip.AddrPort
 	for _, seed := range p.seeds {
--- a/internal/membership/protocol.go
+++ b/internal/membership/protocol.go
@@ -9,14 +9,16 @@
 )
 
 const (
-	// ticksPerProbe is how many times in a probe interval deadlines are looked at and news is sent on.
+	// ticksPerProbe is the number of ticks per probe interval; each tick checks deadlines and gossips updates.
 	ticksPerProbe = 5
-	// urgentDelay is how long urgent news waits for more of it to share a datagram.
+	// urgentDelay is how long urgent updates wait so that several can share a datagram.
 	urgentDelay = 20 * time.Millisecond
-	// urgentLimit is how often a node sends urgent news on by itself. Four times reaches all but a few in a hundred, and
-	// these hear of it with the other news, to which it belongs, too.
-	urgentLimit = 4
-	// retransmitMultiplier times the decimal logarithm of the cluster size is how often a node sends each piece of news.
+	// urgentTransmitLimit is how many times a node sends an urgent update outside the regular gossip. Sending it 4
+	// times reaches all but a few percent of the nodes; these receive it with the regular updates, in which it is
+	// included as well.
+	urgentTransmitLimit = 4
+	// retransmitMultiplier times the decimal logarithm of the cluster size is how many times a node sends each
+	// update.
 	retransmitMultiplier = 3
 )
 
@@ -26,21 +28,21 @@
 	payload []byte
 }
 
-// protocol is the state machine of one member. It does no I/O and reads no clock: what happens comes in by receive, tick
-// and the setters with the time at which it happens, and what is to be sent is collected in outbox. It is not safe for
-// concurrent use.
+// protocol is the state machine of one member. It does no I/O and reads no clock: events come in through receive,
+// tick and the setters with the time at which they happen, and datagrams to be sent are collected in outbox. It is
+// not safe for concurrent use.
 type protocol struct {
 	config Config
 	random *rand.Rand
 
-	members map[string]*entry
+	members map[string]*memberEntry
 	facts   map[string]*factEntry
 	keys    keyIndex
-	// queue holds all news, urgent the part of it that does not wait for the tick.
-	queue  *broadcast
-	urgent *broadcast
-	budget budget
-	outbox []outgoing
+	// queue holds all updates; urgentQueue holds those of them that are sent without waiting for the next tick.
+	queue       *broadcast
+	urgentQueue *broadcast
+	budget      budget
+	outbox      []outgoing
 
 	peers      peers
 	peersValid bool
@@ -51,43 +53,45 @@
 	localOrder  probeOrder
 	remoteOrder probeOrder
 	probeCount  uint64
-	// loneAttempts counts attempts to find anybody, up to maxLoneDoublings.
-	loneAttempts int
-	sync         syncState
+	// isolatedAttempts counts the attempts to find a peer while none is known, up to maxIsolatedDoublings.
+	isolatedAttempts int
+	sync             syncState
 
-	// seeds are addresses to try when nobody is known and to find parts of the cluster that were cut off.
+	// seeds are the addresses to try when no peer is known, and to find parts of the cluster that were partitioned
+	// off.
 	seeds []netip.AddrPort
 
 	lastEvent     time.Time
 	nextTick      time.Time
 	nextProbe     time.Time
 	nextReconnect time.Time
-	// urgentAt is when urgent news is to be sent; zero where there is none.
+	// urgentAt is when urgent updates are to be sent; zero if there are none.
 	urgentAt time.Time
 
-	// membersChanged and factsChanged are set by changes that users can see, and cleared by the owner of the protocol.
+	// membersChanged and factsChanged are set by changes that are visible to callers, and cleared by the owner of the
+	// protocol.
 	membersChanged bool
 	factsChanged   bool
-	// superseded is set when a later process of the same node is alive elsewhere.
+	// superseded is set when a later process of the same node is alive at another address.
 	superseded bool
 }
 
-// newProtocol returns the state of a process that knows only itself. config has been completed by withDefaults.
+// newProtocol returns the state of a process that only knows itself. config must come from withDefaults.
 func newProtocol(config Config, now time.Time) *protocol {
 	seed := config.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
 	p := &protocol{
-		config:  config,
-		random:  rand.New(rand.NewPCG(seed, seed)),
-		members: make(map[string]*entry),
-		facts:   make(map[string]*factEntry),
-		queue:   newBroadcast(),
-		urgent:  newBroadcast(),
-		budget:  newBudget(config.Timing.BytesPerSecond, config.Timing.BurstBytes, now),
-		probes:  make(map[uint32]*probe),
-		relays:  make(map[uint32]*relay),
+		config:      config,
+		random:      rand.New(rand.NewPCG(seed, seed)),
+		members:     make(map[string]*memberEntry),
+		facts:       make(map[string]*factEntry),
+		queue:       newBroadcast(),
+		urgentQueue: newBroadcast(),
+		budget:      newBudget(config.Timing.BytesPerSecond, config.Timing.BurstBytes, now),
+		probes:      make(map[uint32]*probe),
+		relays:      make(map[uint32]*relay),
 	}
 	self := memberRecord{
 		Node:          config.Self.Node,
@@ -100,7 +104,7 @@
 	}
 	p.insert(now, self)
 	p.lastEvent = now
-	// The first tick comes at a random moment, so that nodes started together do not send together.
+	// The first tick is at a random time, so that nodes started together do not send at the same time.
 	p.nextTick = now.Add(p.randomDuration(p.tickInterval()))
 	p.nextProbe = now.Add(p.randomDuration(config.Timing.ProbeInterval))
 	p.nextReconnect = now
@@ -114,9 +118,9 @@
 	return time.Duration(p.random.Int64N(int64(below)))
 }
 
-func (p *protocol) selfEntry() *entry { return p.members[p.config.Self.Node] }
+func (p *protocol) selfEntry() *memberEntry { return p.members[p.config.Self.Node] }
 
-// nextWake is when tick must be called at the latest.
+// nextWake returns the latest time at which tick must be called.
 func (p *protocol) nextWake() time.Time {
 	if !p.urgentAt.IsZero() && p.urgentAt.Before(p.nextTick) {
 		return p.urgentAt
@@ -124,12 +128,12 @@
 	return p.nextTick
 }
 
-// tick does what has become due.
+// tick runs everything whose time has come.
 func (p *protocol) tick(now time.Time) {
-	p.noticePause(now)
+	p.detectPause(now)
 	p.budget.refill(now)
 	if !p.urgentAt.IsZero() && !now.Before(p.urgentAt) {
-		p.gossipUrgently(now)
+		p.gossipUrgent(now)
 	}
 	if now.Before(p.nextTick) {
 		return
@@ -147,15 +151,15 @@
 	p.gossip(now)
 }
 
-// noticePause finds out whether this process has stood still, by events that are late. Deadlines that passed meanwhile
-// prove nothing about others, and others may hold this node dead.
-func (p *protocol) noticePause(now time.Time) {
+// detectPause detects from late events that this process was paused, and rejoins the cluster. Deadlines that passed
+// during the pause prove nothing about other members, and other members may consider this node dead.
+func (p *protocol) detectPause(now time.Time) {
 	gap := now.Sub(p.lastEvent)
 	p.lastEvent = now
 	if gap < p.config.Timing.ProbeInterval {
 		return
 	}
-	p.config.Logger.Warn("process stood still; rejoining", "gap", gap)
+	p.config.Logger.Warn("process was paused; rejoining the cluster", "gap", gap)
 	clear(p.probes)
 	clear(p.relays)
 	p.postponeSuspicions(gap)
@@ -164,7 +168,7 @@
 	p.nextProbe = now
 }
 
-// retransmitLimit is how often each piece of news is sent.
+// retransmitLimit returns how many times each update is sent.
 func (p *protocol) retransmitLimit() int {
 	scale := math.Ceil(math.Log10(float64(p.currentPeers().count() + 2)))
 	return retransmitMultiplier * int(scale)
@@ -172,22 +176,23 @@
 
 // insert adds a member that was not known.
 func (p *protocol) insert(now time.Time, record memberRecord) {
-	held := &entry{}
-	p.members[record.Node] = held
+	entry := &memberEntry{}
+	p.members[record.Node] = entry
 	p.keys.insert(memberKey(record.Node))
-	p.set(now, record, true)
+	p.setRecord(now, record, true)
 	if record.Condition == conditionSuspect {
-		p.beginSuspicion(now, held, "")
+		p.startSuspicion(now, entry, "")
 	}
 }
 
-// insertQuietly adds a member that was not known and does not spread it: it was found by comparing records, not as news.
-func (p *protocol) insertQuietly(now time.Time, record memberRecord) {
+// insertWithoutGossip adds a member that was not known and does not gossip it, since it was found by comparing
+// records and is not a new update.
+func (p *protocol) insertWithoutGossip(now time.Time, record memberRecord) {
 	p.insert(now, record)
-	p.queue.drop(memberKey(record.Node))
+	p.queue.remove(memberKey(record.Node))
 }
 
-// remove forgets a member.
+// remove deletes a member.
 func (p *protocol) remove(node string) {
 	delete(p.members, node)
 	p.keys.remove(memberKey(node))
@@ -195,13 +200,13 @@
 	p.membersChanged = true
 }
 
-// set replaces what is known of a member and queues it as news.
-func (p *protocol) set(now time.Time, record memberRecord, full bool) {
-	held := p.members[record.Node]
-	before := held.record
-	held.record = record
+// setRecord replaces the record of a member and queues it as an update.
+func (p *protocol) setRecord(now time.Time, record memberRecord, full bool) {
+	entry := p.members[record.Node]
+	before := entry.record
+	entry.record = record
 	if record.Condition == conditionDead && before.Condition != conditionDead {
-		held.deadSince = now
+		entry.deadSince = now
 	}
 	if full || before.state() != record.state() {
 		p.membersChanged = true
@@ -219,37 +224,38 @@
 	level("member changed", "member", after.Node, "before", before.state(), "after", after.state())
 }
 
-// mergeMember takes in a full record and tells whether it was news.
+// mergeMember merges a full record and reports whether it was new.
 func (p *protocol) mergeMember(now time.Time, record memberRecord) bool {
 	if record.Node == p.config.Self.Node {
-		p.mergeSelf(now, record.short(), addressText(record.GossipAddress))
+		p.mergeSelf(now, record.stateRecord(), formatAddress(record.GossipAddress))
 		return false
 	}
-	held := p.members[record.Node]
-	if held == nil {
-		// The dead of others are not taken in, or they would go round for ever.
+	entry := p.members[record.Node]
+	if entry == nil {
+		// Unknown members that are already dead are not added; otherwise nodes would pass their records on forever.
 		if record.Condition == conditionDead {
 			return false
 		}
 		p.insert(now, record)
 		return true
 	}
-	learnedLeaving := p.noteLeaving(now, held, record.short())
-	if !record.short().supersedes(held.record.short()) {
+	learnedLeaving := p.mergeLeaving(now, entry, record.stateRecord())
+	if !record.stateRecord().supersedes(entry.record.stateRecord()) {
 		return learnedLeaving
 	}
-	record.Leaving = record.Leaving || (held.record.Leaving && held.record.Incarnation == record.Incarnation)
-	p.set(now, record, !sameIdentity(&held.record, &record))
+	record.Leaving = record.Leaving || (entry.record.Leaving && entry.record.Incarnation == record.Incarnation)
+	p.setRecord(now, record, !sameIdentity(&entry.record, &record))
 	if record.Condition == conditionSuspect {
-		p.beginSuspicion(now, held, "")
+		p.startSuspicion(now, entry, "")
 	}
 	if record.Leaving {
-		p.hurry(now, memberKey(record.Node))
+		p.queueUrgent(now, memberKey(record.Node))
 	}
 	return true
 }
 
-// sameIdentity tells whether records differ at most in what a stateRecord carries, incarnations aside.
+// sameIdentity reports whether the records have the same incarnation and differ only in fields that a stateRecord
+// carries.
 func sameIdentity(before, after *memberRecord) bool {
 	return before.Incarnation == after.Incarnation &&
 		slices.Equal(before.GossipAddress, after.GossipAddress) &&
@@ -257,87 +263,90 @@
 		before.Zone == after.Zone && before.Region == after.Region
 }
 
-// mergeState takes in a short record and tells whether it was news. A short record of an incarnation that is not known is
-// of no use.
-func (p *protocol) mergeState(now time.Time, short stateRecord) bool {
-	if short.Node == p.config.Self.Node {
-		p.mergeSelf(now, short, "")
+// mergeState merges a state record and reports whether it was new. A state record of an unknown incarnation is
+// ignored.
+func (p *protocol) mergeState(now time.Time, reported stateRecord) bool {
+	if reported.Node == p.config.Self.Node {
+		p.mergeSelf(now, reported, "")
 		return false
 	}
-	held := p.members[short.Node]
-	if held == nil || short.Incarnation != held.record.Incarnation {
+	entry := p.members[reported.Node]
+	if entry == nil || reported.Incarnation != entry.record.Incarnation {
 		return false
 	}
-	learnedLeaving := p.noteLeaving(now, held, short)
-	if !short.supersedes(held.record.short()) {
-		p.confirmSuspicion(now, held, short)
+	learnedLeaving := p.mergeLeaving(now, entry, reported)
+	if !reported.supersedes(entry.record.stateRecord()) {
+		p.confirmSuspicion(now, entry, reported)
 		return learnedLeaving
 	}
-	record := held.record
-	record.Refutation = short.Refutation
-	record.Condition = short.Condition
-	p.set(now, record, false)
+	record := entry.record
+	record.Refutation = reported.Refutation
+	record.Condition = reported.Condition
+	p.setRecord(now, record, false)
 	if record.Leaving && record.Condition == conditionDead {
-		// The end of a planned leaving is urgent however it was heard of.
-		p.hurry(now, memberKey(record.Node))
+		// The exit of a leaving member is urgent whichever way it was learned.
+		p.queueUrgent(now, memberKey(record.Node))
 	}
-	if short.Condition == conditionSuspect {
-		p.beginSuspicion(now, held, short.Suspecter)
+	if reported.Condition == conditionSuspect {
+		p.startSuspicion(now, entry, reported.Suspecter)
 	}
 	return true
 }
 
-// noteLeaving takes in that a member leaves, and tells whether that was news. A process that leaves never takes it back, so
-// it holds whatever else is known of the incarnation: its refutation may have been learned without it, from a header.
-func (p *protocol) noteLeaving(now time.Time, held *entry, said stateRecord) bool {
-	if !said.Leaving || held.record.Leaving || said.Incarnation != held.record.Incarnation {
+// mergeLeaving records that a member leaves and reports whether that was new. A process never revokes its leaving, so
+// the flag applies whatever else is known of the incarnation: the refutation that came with it may already have been
+// learned from a header, which does not carry the flag.
+func (p *protocol) mergeLeaving(now time.Time, entry *memberEntry, reported stateRecord) bool {
+	if !reported.Leaving || entry.record.Leaving || reported.Incarnation != entry.record.Incarnation {
 		return false
 	}
-	record := held.record
+	record := entry.record
 	record.Leaving = true
-	p.set(now, record, false)
-	p.hurry(now, memberKey(said.Node))
+	p.setRecord(now, record, false)
+	p.queueUrgent(now, memberKey(reported.Node))
 	return true
 }
 
-// hurry has the record of key sent soon rather than with the next tick.
-func (p *protocol) hurry(now time.Time, key string) {
-	p.urgent.add(key, true)
-	p.syncSoon(now)
+// queueUrgent queues the record of key to be sent after urgentDelay rather than with the next tick.
+func (p *protocol) queueUrgent(now time.Time, key string) {
+	p.urgentQueue.add(key, true)
+	p.scheduleSyncSoon(now)
 	if p.urgentAt.IsZero() {
 		p.urgentAt = now.Add(urgentDelay)
 	}
 }
 
-// mergeSelf answers what others say of this node. address is empty where it was not told.
-func (p *protocol) mergeSelf(now time.Time, said stateRecord, address string) {
+// mergeSelf handles a record of this node that another member sent. address is empty if the record does not contain
+// one.
+func (p *protocol) mergeSelf(now time.Time, reported stateRecord, address string) {
 	self := p.selfEntry().record
-	if !said.supersedes(self.short()) {
+	if !reported.supersedes(self.stateRecord()) {
 		return
 	}
-	if said.Incarnation == self.Incarnation {
-		p.refute(now, said.Refutation)
+	if reported.Incarnation == self.Incarnation {
+		p.refute(now, reported.Refutation)
 		return
 	}
-	elsewhere := address != "" && address != addressText(self.GossipAddress)
-	if elsewhere && said.Condition == conditionAlive {
+	otherAddress := address != "" && address != formatAddress(self.GossipAddress)
+	if otherAddress && reported.Condition == conditionAlive {
 		p.superseded = true
 		return
 	}
 	if address == "" {
 		return
 	}
-	// An earlier process of this node had a clock ahead of ours. It is gone, so its incarnation can be outbid.
-	p.selfEntry().record.Incarnation = said.Incarnation + 1
-	p.refute(now, said.Refutation)
+	// An earlier process of this node had a clock ahead of this process's. It has ended, so this process takes a
+	// higher incarnation.
+	p.selfEntry().record.Incarnation = reported.Incarnation + 1
+	p.refute(now, reported.Refutation)
 }
 
-// refute says that this node is alive, in words newer than any of refutation.
+// refute announces that this node is alive, with a refutation number above the given one.
 func (p *protocol) refute(now time.Time, refutation uint32) {
 	record := p.selfEntry().record
 	record.Refutation = max(record.Refutation, refutation) + 1
-	p.set(now, record, true)
-	p.hurry(now, memberKey(record.Node))
+	p.setRecord(now, record, true)
+	p.queueUrgent(now, memberKey(record.Node))
 }
 
 // leave announces a planned stop.
@@ -348,25 +357,25 @@
 	}
 	record.Leaving = true
 	record.Refutation++
-	p.set(now, record, true)
-	p.hurry(now, memberKey(record.Node))
+	p.setRecord(now, record, true)
+	p.queueUrgent(now, memberKey(record.Node))
 }
 
-// farewell tells a few members that this process ends now, so that nobody need suspect it first.
-func (p *protocol) farewell(now time.Time) {
+// announceExit informs a few members that this process ends now, so that no member has to suspect it first.
+func (p *protocol) announceExit(now time.Time) {
 	record := p.selfEntry().record
 	record.Condition = conditionDead
-	p.set(now, record, false)
+	p.setRecord(now, record, false)
 	p.budget.refill(now)
-	p.hurry(now, memberKey(record.Node))
-	p.gossipUrgently(now)
+	p.queueUrgent(now, memberKey(record.Node))
+	p.gossipUrgent(now)
 }
 
 // snapshot returns the members sorted by node.
 func (p *protocol) snapshot() []Member {
 	result := make([]Member, 0, len(p.members))
-	for _, held := range p.members {
-		result = append(result, held.member())
+	for _, entry := range p.members {
+		result = append(result, entry.member())
 	}
 	slices.SortFunc(result, func(left, right Member) int {
 		if left.Node < right.Node {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// receive takes in a datagram.
+// receive handles a datagram.
 func (p *protocol) receive(now time.Time, from netip.AddrPort, datagram []byte) {
-	p.noticePause(now)
+	p.detectPause(now)
 	p.budget.refill(now)
 	p.config.Observer.received(len(datagram))
 	received, err := decode(p.config.Cluster, datagram)
@@ -19,7 +19,7 @@
 	if head.From == p.config.Self.Node && head.Incarnation == p.selfEntry().record.Incarnation {
 		return
 	}
-	alone := p.currentPeers().count() == 0
+	isolated := p.currentPeers().count() == 0
 	p.mergeRecords(now, received)
 	p.mergeSender(now, from, head)
 	switch head.Kind {
@@ -35,7 +35,7 @@
 		p.receiveSyncReply(now, head)
 	case packetGossip, packetUrgent, packetIntroduction, packetSyncPush:
 	}
-	if alone && p.currentPeers().count() > 0 {
+	if isolated && p.currentPeers().count() > 0 {
 		p.sync = syncState{nextAt: now}
 		p.checkSync(now)
 	}
@@ -43,8 +43,8 @@
 
 func (p *protocol) mergeRecords(now time.Time, received *packet) {
 	for _, record := range received.members {
-		if received.header.Kind == packetSyncReply && p.newcomer(record) {
-			p.insertQuietly(now, record)
+		if received.header.Kind == packetSyncReply && p.isNewMember(record) {
+			p.insertWithoutGossip(now, record)
 			continue
 		}
 		p.mergeMember(now, record)
@@ -58,35 +58,37 @@
 	}
 }
 
-// newcomer tells whether a record is of a living member that is not known yet.
-func (p *protocol) newcomer(record memberRecord) bool {
+// isNewMember reports whether a record is of a member that is not known yet and not dead.
+func (p *protocol) isNewMember(record memberRecord) bool {
 	return p.members[record.Node] == nil && record.Condition != conditionDead
 }
 
-// mergeSender learns from the header that its sender is alive, and gets acquainted with one that is not known.
+// mergeSender records from the header that the sender is alive, and exchanges introductions with a sender that is not
+// known.
 func (p *protocol) mergeSender(now time.Time, from netip.AddrPort, head *header) {
-	held := p.members[head.From]
-	unknown := held == nil || held.record.Incarnation < head.Incarnation
+	entry := p.members[head.From]
+	unknown := entry == nil || entry.record.Incarnation < head.Incarnation
 	if !unknown {
 		p.mergeState(now, stateRecord{
 			Node:        head.From,
 			Incarnation: head.Incarnation,
 			Refutation:  head.Refutation,
 			Condition:   conditionAlive,
-			Leaving:     held.record.Leaving,
+			Leaving:     entry.record.Leaving,
 		})
 	}
-	// Acks are not followed by an introduction of their own: the next ping to or from the sender brings it about.
-	answersAnyway := head.Kind == packetPing
-	if (unknown && !answersAnyway) || (head.Introduce && !answersAnyway) {
+	// A ping gets no separate introduction: its ack requests the record of an unknown sender, and a newer incarnation
+	// of a known sender is learned with a later datagram.
+	willAck := head.Kind == packetPing
+	if (unknown && !willAck) || (head.Introduce && !willAck) {
 		p.introduce(now, from, unknown)
 	}
 }
 
-// introduce sends this node's own record, and asks for the other's where that is needed.
-func (p *protocol) introduce(now time.Time, to netip.AddrPort, ask bool) {
-	if !p.budget.allowsAnswer() {
+// introduce sends this node's own record, and requests the receiver's if requestRecord is set.
+func (p *protocol) introduce(now time.Time, to netip.AddrPort, requestRecord bool) {
+	if !p.budget.allowsResponse() {
 		return
 	}
-	p.send(now, to, &header{Kind: packetIntroduction, Introduce: ask}, p.encodeMember(p.config.Self.Node, true))
+	p.send(now, to, &header{Kind: packetIntroduction, Introduce: requestRecord}, p.encodeMember(p.config.Self.Node, true))
 }
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -12,20 +12,21 @@
 	"github.com/matryer/is"
 )
 
-// simulation drives the state machines of a large cluster one event after the other, without sockets or goroutines, and so
-// in the same order every time. (The race detector's own runtime fails now and then with hundreds of nodes in a bubble.)
+// simulation drives the state machines of a large cluster one event at a time, without sockets or goroutines, so that
+// the order of events is the same in every run. (The runtime of the race detector occasionally fails with hundreds of
+// nodes in a synctest bubble.)
 type simulation struct {
 	now       time.Time
 	nodes     []*protocol
 	byAddress map[netip.AddrPort]*protocol
-	// inFlight is in the order of arrival, since all datagrams take as long.
-	inFlight []flight
+	// inFlight is in the order of arrival, since the latency is the same for all datagrams.
+	inFlight []inFlightDatagram
 	sent     int
-	// lost tells which datagrams don't arrive; nil loses none.
-	lost func() bool
+	// dropDatagram reports whether the next datagram is lost; nil loses none.
+	dropDatagram func() bool
 }
 
-type flight struct {
+type inFlightDatagram struct {
 	due      time.Time
 	from     netip.AddrPort
 	outgoing outgoing
@@ -46,7 +47,7 @@
 				Zone:          fmt.Sprintf("zone-%d", number%zones),
 				Region:        "region",
 			},
-			Network:     newFabric(),
+			Network:     newFakeNetwork(),
 			Seeds:       func(context.Context) []string { return nil },
 			Seed:        uint64(number) + 1,
 			FactClasses: classes,
@@ -59,24 +60,24 @@
 	return s
 }
 
-// introduceAll makes the nodes know each other from the start.
+// introduceAll makes all nodes known to each other from the start.
 func (s *simulation) introduceAll() {
 	s.introduce(func(int, int) bool { return true })
 }
 
-// introduce makes nodes know those others for which knows holds, by their numbers.
+// introduce inserts other into the members of node for all pairs of node numbers for which knows returns true.
 func (s *simulation) introduce(knows func(node, other int) bool) {
 	for number, node := range s.nodes {
 		for otherNumber, other := range s.nodes {
 			if other != node && knows(number, otherNumber) {
-				node.insertQuietly(s.now, other.selfEntry().record)
+				node.insertWithoutGossip(s.now, other.selfEntry().record)
 			}
 		}
-		node.queue.drop(memberKey(node.config.Self.Node))
+		node.queue.remove(memberKey(node.config.Self.Node))
 	}
 }
 
-// run passes time.
+// run advances the simulated time by span.
 func (s *simulation) run(span time.Duration) {
 	end := s.now.Add(span)
 	for {
@@ -124,30 +125,30 @@
 	from := netip.MustParseAddrPort(node.config.Self.GossipAddress)
 	for _, sent := range node.outbox {
 		s.sent += len(sent.payload)
-		if s.lost != nil && s.lost() {
+		if s.dropDatagram != nil && s.dropDatagram() {
 			continue
 		}
-		s.inFlight = append(s.inFlight, flight{due: s.now.Add(fabricLatency), from: from, outgoing: sent})
+		s.inFlight = append(s.inFlight, inFlightDatagram{due: s.now.Add(fakeNetworkLatency), from: from, outgoing: sent})
 	}
 	node.outbox = nil
 }
 
-// count is of how many nodes holds is true.
-func (s *simulation) count(holds func(node *protocol) bool) int {
+// count returns the number of nodes for which predicate is true.
+func (s *simulation) count(predicate func(node *protocol) bool) int {
 	total := 0
 	for _, node := range s.nodes {
-		if holds(node) {
+		if predicate(node) {
 			total++
 		}
 	}
 	return total
 }
 
-// seesAllAlive tells whether a node holds all nodes alive.
+// seesAllAlive reports whether a node sees all nodes as alive.
 func (s *simulation) seesAllAlive(node *protocol) bool {
 	alive := 0
-	for _, held := range node.members {
-		if held.record.state() == StateAlive {
+	for _, entry := range node.members {
+		if entry.record.state() == StateAlive {
 			alive++
 		}
 	}
@@ -171,9 +172,9 @@
 	}
 }
 
-// TestColdStartByFewSeeds has many nodes start at once that know only the same three. Answering them must not take all that
-// the three may send, or nobody would ever learn of anybody else.
-func TestColdStartByFewSeeds(t *testing.T) {
+// TestManyNodesJoinThroughFewSeeds starts many nodes at once that only know the same three seeds. If answering them
+// used up the whole byte budget of the seeds, no node would ever learn of any other.
+func TestManyNodesJoinThroughFewSeeds(t *testing.T) {
 	is := is.New(t)
 	const size = 200
 	s := newSimulation(t, size, 6, nil)
@@ -207,45 +208,45 @@
 	}
 }
 
-// TestZoneThatKnowsLittleLearnsFromOthers: the nodes of one zone lack the same members, as after they started together.
-// Were they to compare their records among themselves alone, they would not miss them.
-func TestZoneThatKnowsLittleLearnsFromOthers(t *testing.T) {
-	const size, zones, ignorant = 60, 6, 5
+// TestZoneLearnsMissingMembersFromOtherZones has all nodes of one zone lack the same members, as after they started
+// together. If they compared their records only among themselves, they would not detect the missing members.
+func TestZoneLearnsMissingMembersFromOtherZones(t *testing.T) {
+	const size, zones, uninformedZone = 60, 6, 5
 	s := newSimulation(t, size, zones, nil)
-	s.introduce(func(node, other int) bool { return node%zones != ignorant || other%zones != 0 })
+	s.introduce(func(node, other int) bool { return node%zones != uninformedZone || other%zones != 0 })
 	s.run(30 * time.Second)
 	is.New(t).Equal(s.count(s.seesAllAlive), size)
 }
 
-// TestLostAnswersOfASuspectKillNobody loses a tenth of all datagrams. Now and then a refutation passes a node by, and that
-// node asks the suspect itself: one lost answer must not be enough to declare it dead.
-func TestLostAnswersOfASuspectKillNobody(t *testing.T) {
+// TestLostAcksOfSuspectDeclareNoNodeDead loses a tenth of all datagrams. Occasionally a node does not receive a
+// refutation and pings the suspect itself: one lost ack must not be enough to declare the suspect dead.
+func TestLostAcksOfSuspectDeclareNoNodeDead(t *testing.T) {
 	is := is.New(t)
 	const size, zones, seeds = 30, 3, 40
 	for seed := range uint64(seeds) {
 		s := newSimulation(t, size, zones, nil)
 		s.introduceAll()
 		random := rand.New(rand.NewPCG(seed, seed))
-		s.lost = func() bool { return random.IntN(10) == 0 }
+		s.dropDatagram = func() bool { return random.IntN(10) == 0 }
 		for range 240 {
 			s.run(500 * time.Millisecond)
-			is.Equal(s.count(holdsSomebodyDead), 0)
+			is.Equal(s.count(seesDeadMember), 0)
 		}
 	}
 }
 
-func holdsSomebodyDead(node *protocol) bool {
-	for _, held := range node.members {
-		if held.record.Condition == conditionDead {
+func seesDeadMember(node *protocol) bool {
+	for _, entry := range node.members {
+		if entry.record.Condition == conditionDead {
 			return true
 		}
 	}
 	return false
 }
 
-// TestUrgentNewsPassesNobodyBy plays the planned leaving of a node, and its end, in many small clusters: the last node to hear of either must do
-// so in time, whatever the random choices are.
-func TestUrgentNewsPassesNobodyBy(t *testing.T) {
+// TestUrgentUpdatesReachAllNodesInTime simulates the planned leaving of a node and its exit in 60 small clusters with
+// different random seeds. All nodes must learn of both within the time limits, whatever the random choices are.
+func TestUrgentUpdatesReachAllNodesInTime(t *testing.T) {
 	is := is.New(t)
 	const (
 		size, zones   = 50, 3
@@ -271,7 +272,7 @@
 		s.run(leavingWithin)
 		is.Equal(knows(StateLeaving), size)
 
-		leaver.farewell(s.now)
+		leaver.announceExit(s.now)
 		s.collect(leaver)
 		s.stop(leaver)
 		s.run(endWithin)
@@ -279,7 +280,7 @@
 	}
 }
 
-// stop takes a node out of the simulation.
+// stop removes a node from the simulation.
 func (s *simulation) stop(node *protocol) {
 	delete(s.byAddress, netip.MustParseAddrPort(node.config.Self.GossipAddress))
 	s.nodes = slices.DeleteFunc(s.nodes, func(other *protocol) bool { return other == node })
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	// syncRangeKeys is how many keys are compared by one exchange of fingerprints.
+	// syncRangeKeys is the maximum number of keys that one exchange of fingerprints compares.
 	syncRangeKeys = 128
-	// syncAttempts is how many members are asked in turn for one range.
-	syncAttempts = 4
-	// syncTimeoutProbes is how many probe intervals a reply may take.
+	// maxSyncAttempts is the maximum number of members that are tried in turn for one range.
+	maxSyncAttempts = 4
+	// syncTimeoutProbes is the timeout of a request, in probe intervals.
 	syncTimeoutProbes = 1
-	// syncHurry divides the interval to the next comparison after one that found differences.
-	syncHurry = 4
+	// syncDifferedDivisor divides the interval to the next comparison after one that found differences.
+	syncDifferedDivisor = 4
 )
 
-// syncState is a comparison of all records with those of other members. At first the digests of everything are compared,
-// so that between equals one short exchange is enough; where they differ, the digests of one range after the other; and
-// where these differ, the fingerprints of the range, and only records that differ are sent. Different ranges may be
-// compared with different members.
+// syncState is the state of a comparison of all records with those of other members. It first compares the digest of
+// all records, so that one short exchange is enough if they are equal; if they differ, the digests of one range after
+// the other; and for a range that differs, its fingerprints, so that only records that differ are sent. Different
+// ranges may be compared with different members.
 type syncState struct {
-	// nextAt is when the next comparison begins.
+	// nextAt is when the next comparison starts.
 	nextAt time.Time
-	// differed says that some range of the present comparison was not the same.
+	// differed reports whether some range of the current comparison was not equal.
 	differed bool
 	active   bool
-	// cursor and end bound the present range.
+	// cursor and end are the bounds of the current range.
 	cursor string
 	end    string
-	// peer and sequence are of the request that waits for its reply until timeoutAt.
+	// peer and sequence are those of the pending request, which times out at timeoutAt.
 	peer      string
 	sequence  uint32
 	waiting   bool
 	timeoutAt time.Time
 	attempts  int
-	// detailed says that the range is known to differ, and that its fingerprints are to be compared.
+	// detailed reports whether the range is known to differ, so that its fingerprints are compared.
 	detailed bool
-	// asked are the fingerprints that the request carried.
-	asked []fingerprinted
+	// requested are the fingerprints that the request carried.
+	requested []keyFingerprint
 }
 
-// checkSync begins a comparison when it is due, and goes on with one that is stuck.
+// checkSync starts a comparison when it is time, and sends the next request of one whose request has timed out.
 func (p *protocol) checkSync(now time.Time) {
 	state := &p.sync
 	if !state.active {
@@ -55,39 +55,39 @@
 	if state.waiting && now.Before(state.timeoutAt) {
 		return
 	}
-	if state.attempts >= syncAttempts {
+	if state.attempts >= maxSyncAttempts {
 		p.endSync(now)
 		return
 	}
 	p.requestRange(now)
 }
 
-// endSync plans the next comparison: soon after one that found differences, since there may be more.
+// endSync schedules the next comparison: earlier after one that found differences, since there may be more.
 func (p *protocol) endSync(now time.Time) {
 	interval := p.config.Timing.SyncInterval
 	if p.sync.differed {
-		interval /= syncHurry
+		interval /= syncDifferedDivisor
 	}
 	p.sync = syncState{nextAt: now.Add(interval/2 + p.randomDuration(interval))}
 }
 
-// syncSoon brings the next comparison forward, to find urgent news that has missed this node.
-func (p *protocol) syncSoon(now time.Time) {
+// scheduleSyncSoon brings the next comparison forward, to find urgent updates that this node did not receive.
+func (p *protocol) scheduleSyncSoon(now time.Time) {
 	soon := now.Add(p.config.Timing.ProbeInterval + p.randomDuration(p.config.Timing.ProbeInterval))
 	if p.sync.nextAt.After(soon) {
 		p.sync.nextAt = soon
 	}
 }
 
-// requestRange asks some member for the present range, if the budget allows.
+// requestRange sends the request for the current range to some member if the budget allows it.
 func (p *protocol) requestRange(now time.Time) {
 	if !p.budget.allowsSync() {
 		return
 	}
-	// Peers of any zone: those of a zone that started together know as little as this node does.
-	peer, found := p.pickAnywhere([]string{p.sync.peer})
+	// Uses peers of any zone, since peers of the same zone that started together lack the same records as this node.
+	peer, found := p.pickAnyZone([]string{p.sync.peer})
 	if !found {
-		peer, found = p.pickAnywhere(nil)
+		peer, found = p.pickAnyZone(nil)
 	}
 	if !found {
 		p.endSync(now)
@@ -99,10 +99,10 @@
 	state.waiting = true
 	state.timeoutAt = now.Add(syncTimeoutProbes * p.config.Timing.ProbeInterval)
 	state.attempts++
-	state.asked = nil
+	state.requested = nil
 	keys := p.keys.between(state.cursor, state.end)
 	if state.detailed {
-		state.asked = p.fingerprints(keys, state.sequence)
+		state.requested = p.fingerprints(keys, state.sequence)
 	}
 	p.sendTo(now, state.peer, &header{
 		Kind:         packetSyncRequest,
@@ -111,12 +111,12 @@
 		End:          state.end,
 		Digest:       p.rangeDigest(keys),
 		Detailed:     state.detailed,
-		Fingerprints: encodeFingerprints(state.asked),
+		Fingerprints: encodeFingerprints(state.requested),
 	})
 }
 
-// rangeDigest combines the digests of the records of keys, whatever their order. The dead are left out, since nodes
-// forget them at different times.
+// rangeDigest combines the digests of the records of keys, independent of their order. Dead members are left out,
+// since nodes remove them at different times.
 func (p *protocol) rangeDigest(keys []string) uint64 {
 	var combined uint64
 	for _, key := range keys {
@@ -136,7 +136,7 @@
 	return p.facts[strings.TrimPrefix(key, factKeyPrefix)].fact.digest()
 }
 
-// receiveSyncRequest says that the range is the same, or answers with the records that differ as far as they fit.
+// receiveSyncRequest replies that the range is equal, or with the records that differ as far as they fit.
 func (p *protocol) receiveSyncRequest(now time.Time, from netip.AddrPort, request *header) {
 	if !p.budget.allowsSync() {
 		p.config.Observer.dropped(DropOverBudget)
@@ -149,15 +149,15 @@
 	case p.rangeDigest(keys) == request.Digest:
 		reply.Equal = true
 	case request.Detailed:
-		own := p.fingerprints(keys, request.Sequence)
-		reply.Missing = missingFrom(own, request.Fingerprints)
-		records = p.pageRecords(now, request, reply, own)
+		fingerprints := p.fingerprints(keys, request.Sequence)
+		reply.Missing = missingBitmap(fingerprints, request.Fingerprints)
+		records = p.pageRecords(now, request, reply, fingerprints)
 	}
-	p.answer(now, from, request.From, reply, records...)
+	p.respond(now, from, request.From, reply, records...)
 }
 
-// replyOverhead is the most bytes that a reply may need besides its page: its header, whose Next may become any key, and
-// a word on the receiver itself.
+// replyOverhead returns the maximum number of bytes that a reply needs besides its page: its header, whose Next may
+// be any key, and a state record of the receiver.
 func (p *protocol) replyOverhead(request *header) int {
 	const (
 		fixedBytes  = 64
@@ -168,32 +168,32 @@
 	return prefixBytes + fixedBytes + names + len(request.Cursor) + len(factKeyPrefix) + maxFactKeyBytes
 }
 
-// pageRecords returns the records that the requester has no fingerprint of, as far as they fit into one datagram, and sets
-// reply.Next where not all do.
-func (p *protocol) pageRecords(now time.Time, request, reply *header, own []fingerprinted) [][]byte {
-	theirs := decodeFingerprints(request.Fingerprints)
-	room := maxPacketBytes - p.replyOverhead(request)
+// pageRecords returns the records whose fingerprints the requester lacks, as far as they fit into one datagram, and
+// sets reply.Next if not all of them fit.
+func (p *protocol) pageRecords(now time.Time, request, reply *header, fingerprints []keyFingerprint) [][]byte {
+	remote := decodeFingerprints(request.Fingerprints)
+	freeBytes := maxPacketBytes - p.replyOverhead(request)
 	var records [][]byte
 	last := request.Cursor
-	for _, mine := range own {
-		if slices.Contains(theirs, mine.print) {
-			last = mine.key
+	for _, local := range fingerprints {
+		if slices.Contains(remote, local.fingerprint) {
+			last = local.key
 			continue
 		}
-		record := p.encodeKey(now, mine.key, true)
-		if len(record) > room {
+		record := p.encodeKey(now, local.key, true)
+		if len(record) > freeBytes {
 			reply.Next = last
 			break
 		}
-		room -= len(record)
+		freeBytes -= len(record)
 		records = append(records, record)
-		last = mine.key
+		last = local.key
 	}
 	return records
 }
 
-// receiveSyncReply goes on to the next range. The records of the reply have been merged already; what the other side lacks
-// is sent back.
+// receiveSyncReply continues with the next range. The records of the reply have already been merged; records that the
+// other member lacks are sent to it.
 func (p *protocol) receiveSyncReply(now time.Time, reply *header) {
 	state := &p.sync
 	if !state.active || !state.waiting || reply.Sequence != state.sequence {
@@ -206,7 +206,7 @@
 		p.nextRange(state.end)
 	case state.detailed:
 		p.pushMissing(now, reply.Missing)
-		p.restOfRange(reply.Next)
+		p.continueRange(reply.Next)
 	default:
 		state.differed = true
 		p.narrowRange()
@@ -218,7 +218,7 @@
 	p.requestRange(now)
 }
 
-// nextRange goes on with the range after end; the comparison is over where end has no bound.
+// nextRange continues with the range after end; the comparison is complete if end is empty.
 func (p *protocol) nextRange(end string) {
 	p.sync.detailed = false
 	if end == "" {
@@ -229,8 +229,8 @@
 	p.sync.end = p.rangeEnd(end)
 }
 
-// restOfRange goes on with what a page has left of a range that differs.
-func (p *protocol) restOfRange(next string) {
+// continueRange continues with the part of a differing range that the last reply did not cover.
+func (p *protocol) continueRange(next string) {
 	if next == p.sync.end || next <= p.sync.cursor {
 		p.nextRange(p.sync.end)
 		return
@@ -238,7 +238,7 @@
 	p.sync.cursor = next
 }
 
-// narrowRange looks closer at a range that differs.
+// narrowRange narrows down a range that differs, to at most syncRangeKeys keys or to its fingerprints.
 func (p *protocol) narrowRange() {
 	state := &p.sync
 	if len(p.keys.between(state.cursor, state.end)) > syncRangeKeys {
@@ -248,7 +248,8 @@
 	state.detailed = true
 }
 
-// rangeEnd returns the last key of the range that begins after cursor; empty when it reaches the end.
+// rangeEnd returns the last key of the range that begins after cursor, or "" if the range reaches the end of all
+// keys.
 func (p *protocol) rangeEnd(cursor string) string {
 	keys := p.keys.between(cursor, "")
 	if len(keys) <= syncRangeKeys {
@@ -257,33 +258,33 @@
 	return keys[syncRangeKeys-1]
 }
 
-// pushMissing sends the records that the other side lacks, but those that its reply has superseded.
+// pushMissing sends the records that the other member lacks, except those that its reply has superseded.
 func (p *protocol) pushMissing(now time.Time, missing []byte) {
 	var records [][]byte
 	size := 0
-	for position, asked := range p.sync.asked {
-		if !bitSet(missing, position) || !p.stillHolds(asked) {
+	for position, requested := range p.sync.requested {
+		if !bitSet(missing, position) || !p.isUnchanged(requested) {
 			continue
 		}
-		record := p.encodeKey(now, asked.key, true)
+		record := p.encodeKey(now, requested.key, true)
 		if size+len(record) > maxPacketBytes/2 {
-			p.push(now, records)
+			p.pushRecords(now, records)
 			records, size = nil, 0
 		}
 		records = append(records, record)
 		size += len(record)
 	}
-	p.push(now, records)
+	p.pushRecords(now, records)
 }
 
-func (p *protocol) push(now time.Time, records [][]byte) {
+func (p *protocol) pushRecords(now time.Time, records [][]byte) {
 	if len(records) == 0 || !p.budget.allowsSync() || p.members[p.sync.peer] == nil {
 		return
 	}
 	p.sendTo(now, p.sync.peer, &header{Kind: packetSyncPush}, records...)
 }
 
-// stillHolds tells whether the record of a key is there and the same as when its fingerprint was taken.
-func (p *protocol) stillHolds(asked fingerprinted) bool {
-	return p.keys.contains(asked.key) && p.keyDigest(asked.key) == asked.digest
+// isUnchanged reports whether the record of a key still exists and is the same as when its fingerprint was computed.
+func (p *protocol) isUnchanged(requested keyFingerprint) bool {
+	return p.keys.contains(requested.key) && p.keyDigest(requested.key) == requested.digest
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -17,30 +17,30 @@
 func memberKey(node string) string { return memberKeyPrefix + node }
 func factKey(key string) string    { return factKeyPrefix + key }
 
-// entry is what is known of a member.
-type entry struct {
+// memberEntry is the state that this node stores of a member.
+type memberEntry struct {
 	record memberRecord
-	// suspicion is that of a suspect.
+	// suspicion is only valid while the member is suspect.
 	suspicion suspicion
-	// deadSince is when the member was found dead.
+	// deadSince is when the member was declared dead.
 	deadSince time.Time
 }
 
-// member returns the entry as users see it.
-func (e *entry) member() Member {
+// member returns the entry as callers see it.
+func (e *memberEntry) member() Member {
 	return Member{
 		Node:          e.record.Node,
 		Incarnation:   e.record.Incarnation,
-		GossipAddress: addressText(e.record.GossipAddress),
-		PeerAddress:   addressText(e.record.PeerAddress),
+		GossipAddress: formatAddress(e.record.GossipAddress),
+		PeerAddress:   formatAddress(e.record.PeerAddress),
 		Zone:          e.record.Zone,
 		Region:        e.record.Region,
 		State:         e.record.state(),
 	}
 }
 
-// state combines how the member is seen with what it announced. A leaving member under suspicion stays leaving, so that
-// nothing is placed on it again.
+// state combines the member's condition with its announcements. A leaving member under suspicion stays leaving, so
+// that no new work is placed on it.
 func (r *memberRecord) state() State {
 	switch {
 	case r.Condition == conditionDead:
@@ -54,8 +54,8 @@
 	}
 }
 
-// short returns the record without what never changes in an incarnation.
-func (r *memberRecord) short() stateRecord {
+// stateRecord returns the record without the fields that never change within an incarnation.
+func (r *memberRecord) stateRecord() stateRecord {
 	return stateRecord{
 		Node:        r.Node,
 		Incarnation: r.Incarnation,
@@ -65,7 +65,7 @@
 	}
 }
 
-// supersedes tells whether r is newer than other, a record of the same node.
+// supersedes reports whether r is newer than other, a record of the same node.
 func (r stateRecord) supersedes(other stateRecord) bool {
 	if r.Incarnation != other.Incarnation {
 		return r.Incarnation > other.Incarnation
@@ -76,13 +76,14 @@
 	return r.Condition > other.Condition
 }
 
-// Marks of what a digest covers besides versions.
+// Bytes added to the input of a digest for flags that are not part of the version.
 const (
 	digestLeaving = 1
 	digestDead    = 2
 )
 
-// digest is the hash by which two nodes compare what they hold of a member. Suspicions are left out, since they pass.
+// digest returns the hash by which two nodes compare their records of a member. Suspicions are left out, since they
+// are temporary.
 func (r *memberRecord) digest() uint64 {
 	buffer := make([]byte, 0, 96)
 	buffer = append(buffer, memberKeyPrefix...)
@@ -122,8 +123,8 @@
 	return found
 }
 
-// between returns the keys above after and not above end; an empty end has no bound. The result is only valid until the
-// index changes.
+// between returns the keys after the first bound, exclusive, up to end, inclusive; an empty end means no bound. The
+// result is only valid until the index changes.
 func (k *keyIndex) between(after, end string) []string {
 	first, found := slices.BinarySearch(k.keys, after)
 	if found {
