--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -65,7 +65,7 @@
 	Equal bool
 }
 
-// recordKind is the type of the record that follows.
+// recordKind is the type of a record; it is the byte in front of the record.
 type recordKind uint8
 
 const (
@@ -94,7 +94,7 @@
 	Refutation  uint32
 	Condition   condition
 	Leaving     bool
-	// Suspecter is the member that did not get an answer from a suspect; empty unless the member is suspect.
+	// Suspecter is the member that did not get an answer from Node; empty unless Node is suspect.
 	Suspecter string
 }
 
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// remoteProbeEvery is the ratio of all probes to those that go to another zone.
+	// remoteProbeEvery is the number of probes of which one goes to another zone.
 	remoteProbeEvery = 4
 	// relayLifetimeProbes is how long a ping on behalf of another member is kept, in probe intervals.
 	relayLifetimeProbes = 2
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -123,8 +123,8 @@
 	return found
 }
 
-// between returns the keys after the first bound, exclusive, up to end, inclusive; an empty end means no bound. The
-// result is only valid until the index changes.
+// between returns the keys greater than after and not greater than end; an empty end means no bound. The result is
+// only valid until the index changes.
 func (k *keyIndex) between(after, end string) []string {
 	first, found := slices.BinarySearch(k.keys, after)
 	if found {
