--- a/internal/node/bundle_exchange.go
+++ b/internal/node/bundle_exchange.go
@@ -13,19 +13,21 @@
 	"github.com/hillfork/hillfork/internal/peerapi"
 )
 
-// bundleFactKey is the fact that holds the newest bundle version and the address of a node that has it.
+// bundleFactKey is the key of the gossiped fact that holds the newest bundle version and the peer address of a node that
+// has it.
 const bundleFactKey = "bundle"
 
 const (
-	// exchangeGrace leaves the log time to bring a bundle before a peer is asked for it.
+	// exchangeGrace is how long a new bundle may take to arrive from the log before it is requested from a peer.
 	exchangeGrace = 500 * time.Millisecond
-	// exchangeRetry is the pause between peers that could not help.
-	exchangeRetry   = time.Second
+	// exchangeRetry is the delay between rounds of requests to peers.
+	exchangeRetry = time.Second
+	// exchangeTimeout limits one request to a peer.
 	exchangeTimeout = 2 * time.Second
 )
 
-// bundleExchange spreads the version of the bundle in force by gossip, and fetches from peers a bundle that the log has
-// not brought: the way in which a node that is cut off from the log, but not from its peers, learns a new bundle.
+// bundleExchange publishes the version of the bundle in force by gossip and fetches newer bundles from peers if they have
+// not arrived from the log. A node that is disconnected from the log but not from its peers receives new bundles this way.
 type bundleExchange struct {
 	follower   *bundle.Follower
 	membership *membership.Membership
@@ -33,7 +35,7 @@
 	logger     *log.Logger
 }
 
-// register answers peers that ask for the bundle in force.
+// register installs the handler that returns the bundle in force to peers.
 func (e *bundleExchange) register(registrar peer.Registrar) {
 	registrar.HandleUnary(peerapi.MethodGetBundle, func(_ context.Context, decode peer.Decode) (peer.Message, error) {
 		var request peerapi.GetBundle
@@ -48,30 +50,31 @@
 	})
 }
 
-// announce spreads a bundle that came into force here.
+// announce publishes by gossip the version of a bundle that was put in force on this node.
 func (e *bundleExchange) announce(accepted *bundle.Accepted) {
 	e.membership.SetFact(bundleFactKey, accepted.Bundle.Version, []byte(e.membership.Self().PeerAddress))
 }
 
-// run fetches from peers what the log does not bring, until ctx ends.
+// run fetches bundles that do not arrive from the log from peers, until ctx ends.
 func (e *bundleExchange) run(ctx context.Context) {
 	for {
 		changed := e.membership.FactsChanged()
-		pause := time.Duration(0)
+		retryDelay := time.Duration(0)
 		if source, behind := e.behind(); behind {
 			e.waitForLog(ctx)
-			pause = exchangeRetry
+			retryDelay = exchangeRetry
 			if _, still := e.behind(); still {
 				e.fetch(ctx, source)
 			}
 		}
-		if !waitForChange(ctx, changed, pause) {
+		if !waitForChange(ctx, changed, retryDelay) {
 			return
 		}
 	}
 }
 
-// behind tells whether peers know a newer bundle, and the address of one that had it.
+// behind reports whether peers have a newer bundle than this node, and returns the peer address of the node that announced
+// it.
 func (e *bundleExchange) behind() (string, bool) {
 	fact, known := e.membership.Fact(bundleFactKey)
 	if !known || fact.Version <= e.currentVersion() {
@@ -87,6 +90,7 @@
 	return 0
 }
 
+// waitForLog waits until the bundle in force changes, for exchangeGrace at most.
 func (e *bundleExchange) waitForLog(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -95,7 +99,7 @@
 	}
 }
 
-// fetch asks the node that announced the bundle, and some other one if that fails.
+// fetch requests the bundle from the node that announced it and, if that fails, from a random alive peer.
 func (e *bundleExchange) fetch(ctx context.Context, source string) {
 	for _, address := range []string{source, e.randomPeer()} {
 		if address == "" {
@@ -105,7 +109,7 @@
 		if err == nil {
 			return
 		}
-		errorlog.Warn(e.logger, "bundle not fetched from peer", err, "peer", address)
+		errorlog.Warn(e.logger, "failed to fetch bundle from peer", err, "peer", address)
 	}
 }
 
@@ -119,6 +123,7 @@
 	return e.follower.Learn(proof)
 }
 
+// randomPeer returns the address of a random alive peer; empty if there is none.
 func (e *bundleExchange) randomPeer() string {
 	var addresses []string
 	self := e.membership.Self()
@@ -133,11 +138,12 @@
 	return addresses[rand.IntN(len(addresses))]
 }
 
-// waitForChange waits until changed is closed, or for pause where that is not zero. False says that ctx has ended.
-func waitForChange(ctx context.Context, changed <-chan struct{}, pause time.Duration) bool {
+// waitForChange waits until changed is closed or, if timeout is not zero, until timeout has passed. It returns false if ctx
+// ended.
+func waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
 	var timer <-chan time.Time
-	if pause > 0 {
-		timer = time.After(pause)
+	if timeout > 0 {
+		timer = time.After(timeout)
 	}
 	select {
 	case <-ctx.Done():
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// lameDuckPeriod is how long a stopping node keeps idle connections of clients open. HTTP/1.1 has no way to announce that
-// a connection closes, so a request that is sent while the server closes is lost without an answer. Each answer of a
-// stopping node ends its connection instead, and only connections that were not used for this long are closed under
-// their clients.
+// lameDuckPeriod is how long a stopping node keeps idle client connections open. An HTTP/1.1 server cannot announce that it
+// closes an idle connection, so a request that is sent while the server closes is lost without a response. A stopping node
+// therefore closes each connection with its next response ("Connection: close"), and closes only those connections without
+// a response that were idle for this period.
 const lameDuckPeriod = 5 * time.Second
 
-// shutdownAPI refuses new connections, lets clients use up those that they hold, and closes the rest once nothing is under way there. It does not
-// shut the server down, which would close connections in place of answering what was read from them.
+// shutdownAPI closes the listener, waits up to lameDuckPeriod for open connections to be closed with their next response,
+// and then closes the remaining ones once no request is in progress on them. It does not call http.Server.Shutdown, which
+// may close a connection without responding to a request that was already read from it.
 func (n *Node) shutdownAPI(ctx context.Context) error {
 	_ = n.listeners.api.Close()
 	lameDuck, cancel := context.WithTimeout(ctx, lameDuckPeriod)
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -17,21 +17,22 @@
 	"github.com/matryer/is"
 )
 
-func TestAnswersOfAStoppingNodeEndTheirConnections(t *testing.T) {
+// TestStoppingNodeClosesConnectionsWithResponses checks that responses carry "Connection: close" once the node stops.
+func TestStoppingNodeClosesConnectionsWithResponses(t *testing.T) {
 	is := is.New(t)
 	var stopping atomic.Bool
 	handler := clientconn.Ending(http.NotFoundHandler(), stopping.Load, 0)
-	answer := func() string {
+	connectionHeader := func() string {
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/", nil))
 		return recorder.Header().Get("Connection")
 	}
-	is.Equal(answer(), "")
+	is.Equal(connectionHeader(), "")
 	stopping.Store(true)
-	is.Equal(answer(), "close")
+	is.Equal(connectionHeader(), "close")
 }
 
-// apiNode returns a node of which nothing runs but its API server.
+// apiNode returns a node that runs only its API server.
 func apiNode(t *testing.T, fabric *simnet.Network) *Node {
 	listener, err := fabric.Host("10.0.0.1", "zone", "region").Listen("10.0.0.1:80")
 	is.New(t).NoErr(err)
@@ -53,24 +54,24 @@
 
 const apiRequest = "GET / HTTP/1.1\r\nHost: node\r\n\r\n"
 
-// TestIdleConnectionsAreGivenTheLameDuckPeriod checks how long a stop waits for connections: not at all if none is open, until clients have
-// closed them, or for the period.
-func TestIdleConnectionsAreGivenTheLameDuckPeriod(t *testing.T) {
+// TestShutdownWaitsForIdleConnections checks how long a shutdown waits for open connections: not at all if none is open,
+// until the clients have closed them, or for lameDuckPeriod.
+func TestShutdownWaitsForIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		took := func(use func(fabric *simnet.Network)) time.Duration {
+		shutdownDuration := func(use func(fabric *simnet.Network)) time.Duration {
 			fabric := simnet.New(simnet.Options{})
 			n := apiNode(t, fabric)
 			n.stopping.Store(true)
 			use(fabric)
-			time.Sleep(time.Millisecond) // connections are accepted
-			began := time.Now()
+			time.Sleep(time.Millisecond) // lets the server accept the connections
+			started := time.Now()
 			is.NoErr(n.shutdownAPI(t.Context()))
-			return time.Since(began)
+			return time.Since(started)
 		}
-		is.Equal(took(func(*simnet.Network) {}), time.Duration(0))
-		is.Equal(took(func(fabric *simnet.Network) { dialAPI(t, fabric) }).Round(100*time.Millisecond), lameDuckPeriod)
-		closed := took(func(fabric *simnet.Network) {
+		is.Equal(shutdownDuration(func(*simnet.Network) {}), time.Duration(0))
+		is.Equal(shutdownDuration(func(fabric *simnet.Network) { dialAPI(t, fabric) }).Round(100*time.Millisecond), lameDuckPeriod)
+		closed := shutdownDuration(func(fabric *simnet.Network) {
 			first, second := dialAPI(t, fabric), dialAPI(t, fabric)
 			is.NoErr(first.Close())
 			time.AfterFunc(time.Second, func() { _ = second.Close() })
@@ -79,47 +80,46 @@
 	})
 }
 
-// A stopping node closed connections in place of answering requests that it had read, as soon as the period for idle connections was over: it
-// shut its HTTP server down, which reads what is under way to its end and then closes. The same cause ended requests of the users'
-// platform without an answer.
-
-// TestARequestAcrossTheLameDuckPeriodIsAnswered sends the halves of a request before and after the end of the period, on a connection that was
-// used before and on a new one.
-func TestARequestAcrossTheLameDuckPeriodIsAnswered(t *testing.T) {
+// TestRequestSpanningLameDuckPeriodGetsResponse sends the two halves of a request before and after the end of lameDuckPeriod,
+// on a connection that was used before and on a new one. A stopping node used to call http.Server.Shutdown at the end of the
+// period, which reads a request in progress to its end and then closes the connection without a response. Requests of the
+// users' platform were lost for the same reason.
+func TestRequestSpanningLameDuckPeriodGetsResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fabric := simnet.New(simnet.Options{})
 		n := apiNode(t, fabric)
-		kept, fresh := dialAPI(t, fabric), dialAPI(t, fabric)
-		keptAnswers := bufio.NewReader(kept)
-		_, err := kept.Write([]byte(apiRequest))
+		reused, fresh := dialAPI(t, fabric), dialAPI(t, fabric)
+		reusedReader := bufio.NewReader(reused)
+		_, err := reused.Write([]byte(apiRequest))
 		is.NoErr(err)
-		answer, err := http.ReadResponse(keptAnswers, nil)
+		response, err := http.ReadResponse(reusedReader, nil)
 		is.NoErr(err)
-		_, err = io.Copy(io.Discard, answer.Body)
+		_, err = io.Copy(io.Discard, response.Body)
 		is.NoErr(err)
 		n.stopping.Store(true)
-		ended := make(chan error, 1)
-		go func() { ended <- n.shutdownAPI(t.Context()) }()
+		shutdownDone := make(chan error, 1)
+		go func() { shutdownDone <- n.shutdownAPI(t.Context()) }()
 		time.Sleep(lameDuckPeriod - 100*time.Millisecond)
-		for _, conn := range []net.Conn{kept, fresh} {
+		for _, conn := range []net.Conn{reused, fresh} {
 			_, err := conn.Write([]byte(apiRequest[:20]))
 			is.NoErr(err)
 		}
 		time.Sleep(time.Second)
-		for conn, answers := range map[net.Conn]*bufio.Reader{kept: keptAnswers, fresh: bufio.NewReader(fresh)} {
+		for conn, reader := range map[net.Conn]*bufio.Reader{reused: reusedReader, fresh: bufio.NewReader(fresh)} {
 			_, err := conn.Write([]byte(apiRequest[20:]))
 			is.NoErr(err)
-			answer, err := http.ReadResponse(answers, nil)
+			response, err := http.ReadResponse(reader, nil)
 			is.NoErr(err)
-			is.True(answer.Close)
+			is.True(response.Close)
 		}
-		is.NoErr(<-ended)
+		is.NoErr(<-shutdownDone)
 	})
 }
 
-// TestUnusedConnectionsOutliveTheirClients opens a connection and uses it when its client would just have closed it.
-func TestUnusedConnectionsOutliveTheirClients(t *testing.T) {
+// TestUnusedConnectionOutlastsClientIdleTimeout checks that the server still responds on a connection that is first used after
+// the idle timeout at which its client would close it.
+func TestUnusedConnectionOutlastsClientIdleTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fabric := simnet.New(simnet.Options{})
--- a/internal/node/join_gate.go
+++ b/internal/node/join_gate.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// joinLimit is how long a process that has just started leaves shards to others while it knows few of them.
+	// joinLimit is how long a newly started process claims no shards while it does not know all listed nodes yet.
 	joinLimit = 5 * time.Second
-	// joinRetryAfter is told to those who ask for a shard meanwhile.
+	// joinRetryAfter is the retry delay that is returned to callers that request a shard in that time.
 	joinRetryAfter = 200 * time.Millisecond
 )
 
-// joinGate keeps a process that has just started from claiming shards: until it knows most of the other nodes, it takes
-// the living owner of any shard for unknown, and would cut its work off. Once joined, the gate stays open; losing sight of
-// the others later must not keep the survivors from taking over.
+// joinGate keeps a newly started process from claiming shards. Until the process knows the other nodes, it does not know
+// the live owner of a shard; claiming the shard would cut off the work of that owner. Once open, the gate stays open: if
+// other nodes become unreachable later, the remaining ones must be able to take over their shards.
 type joinGate struct {
 	opener  shard.Opener
 	joined  func() bool
@@ -30,7 +30,7 @@
 	return &joinGate{opener: opener, joined: joined, started: time.Now()}
 }
 
-// Open fills shard.Opener.
+// Open implements shard.Opener. It returns a peer.Error with CodeNotReady while the gate is closed.
 func (g *joinGate) Open(ctx context.Context, stream string) (shard.Owner, error) {
 	if !g.open.Load() {
 		if !g.joined() && time.Since(g.started) < joinLimit {
--- a/internal/node/join_gate_test.go
+++ b/internal/node/join_gate_test.go
@@ -19,7 +19,9 @@
 	return nil, nil
 }
 
-func TestAProcessThatKnowsNobodyClaimsNothing(t *testing.T) {
+// TestJoinGateRefusesClaimsUntilJoined checks that a process claims no shard until it has joined or joinLimit has passed, and
+// that the gate stays open afterwards.
+func TestJoinGateRefusesClaimsUntilJoined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		joined := false
@@ -33,14 +35,14 @@
 		joined = true
 		_, err = gate.Open(t.Context(), "steps/w/0")
 		is.NoErr(err)
-		joined = false // the others are gone later: the survivors take over
+		joined = false // other nodes fail later: the remaining ones must take over
 		_, err = gate.Open(t.Context(), "steps/w/0")
 		is.NoErr(err)
 		is.Equal(opener.opened, 2)
 
-		alone := newJoinGate(opener, func() bool { return false })
+		isolated := newJoinGate(opener, func() bool { return false })
 		time.Sleep(joinLimit)
-		_, err = alone.Open(t.Context(), "steps/w/0")
-		is.NoErr(err) // there may be no others any more
+		_, err = isolated.Open(t.Context(), "steps/w/0")
+		is.NoErr(err) // there may be no other nodes left
 	})
 }
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -14,15 +14,15 @@
 	"github.com/samber/oops"
 )
 
-// ErrDrainCut says that a planned stop reached its time limit and cut work off.
+// ErrDrainCut is returned when a planned stop cut off work that had not finished within the drain timeout.
 var ErrDrainCut = errors.New("drain timeout reached; work in flight was cut off")
 
-// leaveTimeout bounds the announcement of a planned stop; the stop goes on without it.
+// leaveTimeout limits the announcement of a planned stop to the members; if it fails, the stop continues.
 const leaveTimeout = 5 * time.Second
 
-// Run serves until ctx ends or a drain is asked for, then stops as planned: ready turns false, members are told, work in
-// flight is finished, owned shards are released. It returns nil after a clean stop and ErrDrainCut when the drain
-// timeout of the settings cut work off.
+// Run serves until ctx ends or Stop is called, and then performs a planned stop: the node reports itself as not ready,
+// notifies the members, finishes work in flight and releases its shards. It returns nil after a clean stop, and an error
+// that wraps ErrDrainCut if the drain timeout of the settings cut off work.
 func (n *Node) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	n.cancel = cancel
@@ -31,7 +31,7 @@
 	n.logger.Info("node runs", "api", n.APIAddress(), "peer", n.PeerAddress(), "zone", n.config.Settings.Zone)
 	select {
 	case <-ctx.Done():
-	case <-n.stopAsked:
+	case <-n.stopRequested:
 	case err := <-n.failed:
 		return err
 	}
@@ -41,12 +41,12 @@
 	return n.drain(background)
 }
 
-// Stop asks for a planned stop; Run then returns. It may be called more than once.
+// Stop requests a planned stop, after which Run returns. It may be called more than once.
 func (n *Node) Stop() {
-	n.stopOnce.Do(func() { close(n.stopAsked) })
+	n.stopOnce.Do(func() { close(n.stopRequested) })
 }
 
-// Kill ends the node at once, as a crash would: nothing is announced, finished or released. Experiments use it.
+// Kill ends the node immediately, as a crash would: it announces, finishes and releases nothing. Tests use it.
 func (n *Node) Kill() {
 	select {
 	case n.failed <- errKilled:
@@ -71,15 +71,16 @@
 	n.spawn(ctx, "metrics server", func(context.Context) error { return n.metrics.Serve(n.listeners.metrics) })
 }
 
-// spawn runs one role. A role that ends by itself with an error ends the node: all its roles are needed.
+// spawn runs one role in a goroutine. If a role ends with an error before the node stops, the node ends too, since it needs
+// all its roles.
 func (n *Node) spawn(ctx context.Context, role string, run func(context.Context) error) {
 	n.running.Go(func() {
 		err := run(ctx)
-		ended := ctx.Err() != nil || n.stopping.Load()
-		if ended || err == nil || errors.Is(err, http.ErrServerClosed) || errors.Is(err, peer.ErrClosed) {
+		stopping := ctx.Err() != nil || n.stopping.Load()
+		if stopping || err == nil || errors.Is(err, http.ErrServerClosed) || errors.Is(err, peer.ErrClosed) {
 			return
 		}
-		errorlog.Error(n.logger, "role ended", err, "role", role)
+		errorlog.Error(n.logger, "role ended with an error", err, "role", role)
 		select {
 		case n.failed <- oops.With("role", role).Wrap(err):
 		default:
@@ -87,8 +88,8 @@
 	})
 }
 
-// drain is the planned stop. The order matters: first no new work arrives, then what is in flight ends, then the shards
-// are released, and only then are the connections closed.
+// drain performs the planned stop. The order matters: new work is refused first, then work in flight is finished, then the
+// shards are released, and only then are the connections closed.
 func (n *Node) drain(ctx context.Context) error {
 	n.stopping.Store(true)
 	n.logger.Info("planned stop begins")
@@ -122,12 +123,12 @@
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	if err := n.membership.Leave(ctx); err != nil {
-		errorlog.Warn(n.logger, "leaving was not announced in full", err)
+		errorlog.Warn(n.logger, "failed to announce the planned stop to all members", err)
 	}
 }
 
-// close ends whatever still runs. After a drain nothing does. Otherwise the process dies, and shards are abandoned before
-// anything that might release them learns of it.
+// close ends all components that still run; after a drain there are none. Without a drain, close acts like a crash: the
+// shards are abandoned before any component that could release them is stopped.
 func (n *Node) close() {
 	n.stopping.Store(true)
 	n.shards.Close()
@@ -142,17 +143,17 @@
 	n.adapter.Close()
 }
 
-// APIAddress is where callers, trainers and operators reach the node.
+// APIAddress returns the address at which callers, trainers and operators reach the node.
 func (n *Node) APIAddress() string { return n.listeners.api.Addr().String() }
 
-// PeerAddress is where other nodes call.
+// PeerAddress returns the address at which other nodes call this one.
 func (n *Node) PeerAddress() string { return n.listeners.peer.Addr().String() }
 
-// MetricsAddress is where /metrics, /healthz and /readyz are.
+// MetricsAddress returns the address that serves /metrics, /healthz and /readyz.
 func (n *Node) MetricsAddress() string { return n.listeners.metrics.Addr().String() }
 
-// seeds are the gossip addresses of the settings, and where there are none those of the nodes on the machine list. The
-// list names a node by its gossip address.
+// seeds returns the gossip addresses of the settings or, if there are none, those of the nodes on the machine list. The
+// address of a node on that list is its gossip address.
 func (n *Node) seeds(context.Context) []string {
 	if configured := n.config.Settings.Seeds; len(configured) > 0 {
 		return configured
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -7,7 +7,7 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// memberDirectory shows the members to the administration API.
+// memberDirectory lists the members for the administration API.
 type memberDirectory struct {
 	membership *membership.Membership
 }
@@ -27,7 +27,7 @@
 	return result
 }
 
-// factSource fills machines.FactSource by the membership's facts.
+// factSource implements machines.FactSource with the facts of the membership.
 type factSource struct {
 	membership *membership.Membership
 }
@@ -43,7 +43,8 @@
 
 func (s factSource) FactsChanged() <-chan struct{} { return s.membership.FactsChanged() }
 
-// aliveIn tells whether a process is known to be alive; a leaving one still hands its shards over itself.
+// aliveIn returns a function that reports whether a process is known to be alive. A leaving process counts as alive, since
+// it still hands over its shards itself.
 func aliveIn(m *membership.Membership) func(node string, incarnation uint64) bool {
 	return func(node string, incarnation uint64) bool {
 		for _, member := range m.Members() {
@@ -55,20 +56,20 @@
 	}
 }
 
-// hasJoined tells whether this node knows at least half of the nodes that the machine list holds live.
+// hasJoined reports whether this node knows at least half of the nodes that are live on the machine list.
 func (n *Node) hasJoined() bool {
 	known, listed := n.knownAndListed()
 	return 2*known >= listed
 }
 
-// hasJoinedWhole tells whether this node knows as many nodes as the machine list holds live.
-func (n *Node) hasJoinedWhole() bool {
+// knowsAllListed reports whether the machine list was read and this node knows at least as many nodes as are live on it.
+func (n *Node) knowsAllListed() bool {
 	known, listed := n.knownAndListed()
 	return n.directory.Loaded() && known >= listed
 }
 
-// knownAndListed counts the nodes that are not held dead, and those that the machine list holds live: none where it could
-// not be read yet.
+// knownAndListed returns the number of members that are not dead, and the number of nodes that are live on the machine list.
+// The latter is 0 if the list was not read yet.
 func (n *Node) knownAndListed() (known, listed int) {
 	for _, machine := range n.directory.Machines() {
 		if machine.Kind == platform.MachineNode && machine.State == platform.MachineLive {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -6,15 +6,16 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metricPrefix starts the names of all metrics of a node; the role follows.
+// metricPrefix is the prefix of all metric names of a node; the name of the role follows it.
 const metricPrefix = "hillfork_"
 
-// dropReasons are the values of the label of hillfork_membership_drops_total.
+// dropReasons are the values of the label "reason" of hillfork_membership_drops_total.
 var dropReasons = []membership.DropReason{
 	membership.DropMalformed, membership.DropOverBudget, membership.DropSendFailed, membership.DropTooManyFacts,
 }
 
-// newDropCounter counts what membership drops, by reason; every reason is there from the start.
+// newDropCounter registers the counter of what membership drops, by reason, and returns the function that increments it.
+// All reasons are exported from the start.
 func newDropCounter(registerer prometheus.Registerer) func(membership.DropReason) {
 	drops := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: metricPrefix + "membership_drops_total",
@@ -27,13 +28,13 @@
 	return func(reason membership.DropReason) { drops.WithLabelValues(string(reason)).Inc() }
 }
 
-// reading is one metric, read whenever it is asked for.
+// reading is one metric whose value is read at each collection.
 type reading struct {
 	kind   prometheus.ValueType
 	name   string
 	help   string
 	labels []string
-	// values are the label's values; one empty value where there is no label.
+	// values are the values of the label; one empty value if there is no label.
 	values []string
 	read   func(value string) float64
 }
@@ -45,14 +46,14 @@
 	return prometheus.NewDesc(metricPrefix+r.name, r.help, r.labels, nil)
 }
 
-// Describe fills prometheus.Collector.
+// Describe implements prometheus.Collector.
 func (r readings) Describe(descriptions chan<- *prometheus.Desc) {
 	for _, metric := range r {
 		descriptions <- metric.description()
 	}
 }
 
-// Collect fills prometheus.Collector.
+// Collect implements prometheus.Collector.
 func (r readings) Collect(metrics chan<- prometheus.Metric) {
 	for _, metric := range r {
 		for _, value := range metric.values {
@@ -68,12 +69,12 @@
 	return []string{value}
 }
 
-// plain is a metric without labels.
+// plain returns a metric without labels.
 func plain(kind prometheus.ValueType, name, help string, read func() float64) reading {
 	return reading{kind: kind, name: name, help: help, values: []string{""}, read: func(string) float64 { return read() }}
 }
 
-// registerMetrics exports what the roles count.
+// registerMetrics registers the metrics of the node and its roles.
 func (n *Node) registerMetrics() {
 	n.registry.MustRegister(n.nodeReadings(), n.bundleReadings(), n.memberReadings(), n.peerReadings())
 	n.registry.MustRegister(
@@ -142,7 +143,7 @@
 	}}
 }
 
-// Sides of the peer protocol.
+// Values of the label "side": the two sides of a connection of the peer protocol.
 const (
 	clientSide = "client"
 	serverSide = "server"
@@ -155,18 +156,18 @@
 		}
 		return n.peerServer.Stats()
 	}
-	sided := func(name, help string, read func(peer.Stats) uint64) reading {
+	bySide := func(name, help string, read func(peer.Stats) uint64) reading {
 		return reading{
 			kind: prometheus.CounterValue, name: name, help: help, labels: []string{"side"}, values: []string{clientSide, serverSide},
 			read: func(side string) float64 { return float64(read(stats(side))) },
 		}
 	}
 	return readings{
-		sided("peer_protocol_errors_total", "Connections closed since their bytes were not the peer protocol, by side.",
+		bySide("peer_protocol_errors_total", "Connections closed since their bytes were not the peer protocol, by side.",
 			func(s peer.Stats) uint64 { return s.ProtocolErrors }),
-		sided("peer_lost_connections_total", "Connections closed since pings were not answered, by side.",
+		bySide("peer_lost_connections_total", "Connections closed since pings were not answered, by side.",
 			func(s peer.Stats) uint64 { return s.LostConnections }),
-		sided("peer_overloaded_total", "Calls refused at the limit of calls in flight, by side.",
+		bySide("peer_overloaded_total", "Calls refused at the limit of calls in flight, by side.",
 			func(s peer.Stats) uint64 { return s.Overloaded }),
 	}
 }
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -12,7 +12,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metricsPage is the operators' page of metrics.
+// metricsPage is the page of the operators' documentation that lists the metrics.
 const metricsPage = "../../docs/operators/metrics.md"
 
 var (
@@ -20,12 +20,12 @@
 	pageName      = regexp.MustCompile("(?m)^\\| `(hillfork_[a-z_]+)")
 )
 
-// registered returns the metrics of a node that has just been made, with the help of each.
+// registered returns the help texts of the metrics that a new node registers, by metric name.
 func registered(t *testing.T) map[string]string {
 	t.Helper()
 	is := is.New(t)
 	const anyPort = "127.0.0.1:0"
-	made, err := New(Config{
+	n, err := New(Config{
 		Network: network.System{}, Incarnation: 1,
 		Settings: &settings.Settings{
 			Node: "n1", Zone: "z1", Region: "r1", APIListen: anyPort, PeerListen: anyPort, GossipListen: anyPort, MetricsListen: anyPort,
@@ -34,13 +34,13 @@
 		},
 	})
 	is.NoErr(err)
-	made.Kill()
-	is.Equal(made.Run(t.Context()), errKilled)
-	_, err = made.registry.Gather()
+	n.Kill()
+	is.Equal(n.Run(t.Context()), errKilled)
+	_, err = n.registry.Gather()
 	is.NoErr(err)
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
-		made.registry.Describe(descriptions)
+		n.registry.Describe(descriptions)
 		close(descriptions)
 	}()
 	names := make(map[string]string)
@@ -52,13 +52,14 @@
 	return names
 }
 
-// TestMetricsPageIsWhole compares the operators' page with what a node registers, both ways.
-func TestMetricsPageIsWhole(t *testing.T) {
+// TestMetricsPageMatchesRegisteredMetrics checks that the operators' page lists every metric that a node registers and no
+// other.
+func TestMetricsPageMatchesRegisteredMetrics(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(metricsPage)
 	is.NoErr(err)
 	names := registered(t)
-	is.True(len(names) > 60) // all roles are there
+	is.True(len(names) > 60) // the metrics of all roles are registered
 	described := make(map[string]bool)
 	for _, match := range pageName.FindAllStringSubmatch(string(page), -1) {
 		described[match[1]] = true
@@ -68,7 +69,7 @@
 			t.Errorf("%s is not on the page", name)
 		}
 		if !strings.HasSuffix(help, ".") {
-			t.Errorf("%s has no help in a sentence: %q", name, help)
+			t.Errorf("help of %s does not end with a full stop: %q", name, help)
 		}
 	}
 	for name := range described {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts the roles of one process together: gateway, step ledger, request ledger, engine dispatcher, bundle
-// follower and membership, over a network and the platform's services. Every node is alike and can take every role.
+// Package node assembles the roles of one process: gateway, step ledger, request ledger, engine dispatcher, bundle
+// follower and membership, on a network and the services of the platform. All nodes run the same roles.
 package node
 
 import (
@@ -33,23 +33,23 @@
 	"github.com/samber/oops"
 )
 
-// Config is what a node is made from.
+// Config holds the settings and dependencies of a node.
 type Config struct {
 	Settings *settings.Settings
 	Network  network.Network
-	// Incarnation tells this process from earlier ones of the same node; a later process has the higher one.
+	// Incarnation distinguishes this process from earlier processes of the same node; a later process has a higher value.
 	Incarnation uint64
-	// Logger may be nil.
+	// Logger receives the log; nil discards it.
 	Logger *log.Logger
-	// Policy chooses how work is handed out; the zero value is what runs in production.
+	// Policy selects how work is assigned; production uses the zero value.
 	Policy policy.Settings
-	// Failpoint, if set, is called with the name of each point between two steps of a ledger. Tests stop the process there.
+	// Failpoint, if set, is called between the steps of a ledger with the name of the point. Tests stop the process there.
 	Failpoint func(name string)
-	// Mutations switches mechanisms off; only tests set it.
+	// Mutations disables mechanisms; only tests set it.
 	Mutations mutation.Set
 }
 
-// Node is one process.
+// Node is one process with all its roles.
 type Node struct {
 	config   Config
 	logger   *log.Logger
@@ -75,30 +75,30 @@
 	apiServer   *http.Server
 	metrics     *http.Server
 
-	stopping  atomic.Bool
-	stopAsked chan struct{}
-	stopOnce  sync.Once
-	cancel    context.CancelFunc
-	running   sync.WaitGroup
-	failed    chan error
+	stopping      atomic.Bool
+	stopRequested chan struct{}
+	stopOnce      sync.Once
+	cancel        context.CancelFunc
+	running       sync.WaitGroup
+	failed        chan error
 }
 
 type listeners struct {
 	api, peer, metrics net.Listener
 }
 
-// New opens the node's sockets and puts its roles together. Run must be called, or Kill.
+// New opens the sockets of the node and assembles its roles. The caller must call Run, which also releases the sockets.
 func New(config Config) (*Node, error) {
 	logger := config.Logger
 	if logger == nil {
 		logger = discardLogger()
 	}
 	n := &Node{
-		config:    config,
-		logger:    logger.With("node", config.Settings.Node),
-		registry:  prometheus.NewRegistry(),
-		stopAsked: make(chan struct{}),
-		failed:    make(chan error, 1),
+		config:        config,
+		logger:        logger.With("node", config.Settings.Node),
+		registry:      prometheus.NewRegistry(),
+		stopRequested: make(chan struct{}),
+		failed:        make(chan error, 1),
 	}
 	if err := n.listen(); err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 }
 
 func (n *Node) listen() error {
-	opened := []struct {
+	sockets := []struct {
 		address string
 		target  *net.Listener
 	}{
@@ -119,13 +119,13 @@
 		{n.config.Settings.PeerListen, &n.listeners.peer},
 		{n.config.Settings.MetricsListen, &n.listeners.metrics},
 	}
-	for _, item := range opened {
-		listener, err := n.config.Network.Listen(item.address)
+	for _, socket := range sockets {
+		listener, err := n.config.Network.Listen(socket.address)
 		if err != nil {
 			n.listeners.close()
-			return oops.With("address", item.address).Wrapf(err, "listen")
+			return oops.With("address", socket.address).Wrapf(err, "listen")
 		}
-		*item.target = listener
+		*socket.target = listener
 	}
 	return nil
 }
@@ -138,7 +138,7 @@
 	}
 }
 
-// assemble makes the roles, from the rim inwards.
+// assemble creates the roles in the order of their dependencies.
 func (n *Node) assemble() error {
 	s := n.config.Settings
 	counters := accounting.New(n.registry)
@@ -162,7 +162,7 @@
 
 	placer := placement.NewRendezvous(n.self(), n.membership)
 	n.shards = n.newShardManager(platformLog, placer)
-	n.gate = newJoinGate(n.shards, n.hasJoinedWhole)
+	n.gate = newJoinGate(n.shards, n.knowsAllListed)
 	owners := ownerCaller{
 		router:       route.New(route.Config{Caller: n.peerClient, Placer: placer}),
 		preferenceOf: n.preferenceOfStream,
@@ -303,7 +303,8 @@
 	return placement.Member{Node: s.Node, PeerAddress: s.PeerAdvertise, Zone: s.Zone, Region: s.Region}
 }
 
-// preferenceOfStream places an engine's stream near the engine, and the streams of a workload in the region of its work.
+// preferenceOfStream returns the preferred placement of a stream: near the engine for the stream of an engine, and in the
+// region of the workload's engines for a stream of a workload.
 func (n *Node) preferenceOfStream(stream string) placement.Preference {
 	if engine, isEngine := engineOfStream(stream); isEngine {
 		return n.directory.Preference(engine)
@@ -323,7 +324,7 @@
 	n.requests.OnHandover(ctx, stream)
 }
 
-// readHeaderTimeout bounds the time in which a client must send its request's header. It also closes connections that
-// have not been used yet, and so must be longer than clients keep idle ones: whoever closes a connection under its user
-// loses the request that is just being sent.
+// readHeaderTimeout limits the time for reading the header of a request. The server also closes connections that were never
+// used after this time, so it must be longer than the idle timeout of the clients: if the server closes a connection first,
+// a request that the client is sending at that moment is lost.
 const readHeaderTimeout = 2 * connectadapter.DefaultIdleTimeout
--- a/internal/node/owner_caller.go
+++ b/internal/node/owner_caller.go
@@ -9,17 +9,17 @@
 	"github.com/hillfork/hillfork/internal/route"
 )
 
-// maxStreamAttempts bounds the attempts at opening one stream whose owner nobody can stand in for. Any other stream that
-// its owner refuses is for its caller to place elsewhere, at once.
+// maxStreamAttempts is the limit of attempts to open a stream that only the owner of its shard can serve. Any other stream
+// that its owner refuses is returned to the caller immediately, so that the caller can open it elsewhere.
 const maxStreamAttempts = 4
 
-// lostCallTimeout bounds one attempt of a call that may be repeated, long polls included, so that a call to an owner that
-// has died goes on to the next owner in time.
+// lostCallTimeout limits one attempt of an idempotent call, long polls included, so that a call to an owner that has failed
+// is retried at the next owner in time.
 const lostCallTimeout = 30 * time.Second
 
-// ownerCaller fills the OwnerCaller and LedgerCaller interfaces of the roles by the router. Where a shard had best be is
-// decided by preferenceOf alone, for callers as for owners: were callers to go by their own place, each would first ask a
-// node that is not the owner.
+// ownerCaller implements the OwnerCaller and LedgerCaller interfaces of the roles with the router. Callers and owners both
+// use preferenceOf as the preferred placement of a shard. If callers used their own location instead, their first request
+// would go to a node that is not the owner.
 type ownerCaller struct {
 	router       *route.Router
 	preferenceOf func(stream string) placement.Preference
--- a/internal/node/role_counters.go
+++ b/internal/node/role_counters.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// roleCounters is a prometheus.Collector of the counters that a role keeps itself. The set of names never changes.
+// roleCounters is a prometheus.Collector of the counters that a role maintains itself. The set of their names is constant.
 type roleCounters struct {
 	role string
 	read func() []metric.Metric
@@ -15,14 +15,14 @@
 	return prometheus.NewDesc(metricPrefix+c.role+"_"+counter.Name, counter.Help, nil, nil)
 }
 
-// Describe fills prometheus.Collector.
+// Describe implements prometheus.Collector.
 func (c roleCounters) Describe(descriptions chan<- *prometheus.Desc) {
 	for _, counter := range c.read() {
 		descriptions <- c.description(counter)
 	}
 }
 
-// Collect fills prometheus.Collector.
+// Collect implements prometheus.Collector.
 func (c roleCounters) Collect(metrics chan<- prometheus.Metric) {
 	for _, counter := range c.read() {
 		metrics <- prometheus.MustNewConstMetric(c.description(counter), prometheus.CounterValue, float64(counter.Value))
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -12,7 +12,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// statusHandler serves /metrics, /healthz (the process answers) and /readyz (it takes work).
+// statusHandler serves /metrics, /healthz (the process responds) and /readyz (the node accepts work).
 func (n *Node) statusHandler() http.Handler {
 	n.registry.MustRegister(
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
@@ -31,7 +31,7 @@
 	return mux
 }
 
-// notReady tells why the node takes no work; empty if it does.
+// notReady returns the reason why the node accepts no work; empty if it accepts work.
 func (n *Node) notReady() string {
 	switch {
 	case n.stopping.Load():
@@ -45,7 +45,7 @@
 	}
 }
 
-// registerAdmin answers what other nodes ask for the administration API.
+// registerAdmin installs the handlers of calls that other nodes make for the administration API.
 func (n *Node) registerAdmin(registrar peer.Registrar) {
 	registrar.HandleUnary(peerapi.MethodListShards, func(context.Context, peer.Decode) (peer.Message, error) {
 		result := &peerapi.ListShardsResult{}
@@ -63,7 +63,8 @@
 	})
 }
 
-// requestFailpoint passes the request ledger's failpoints on; nil in production.
+// requestFailpoint returns a function that forwards the failpoints of the request ledger to Config.Failpoint; nil in
+// production.
 func (n *Node) requestFailpoint() func(requestledger.Failpoint) {
 	if n.config.Failpoint == nil {
 		return nil
--- a/internal/node/streams.go
+++ b/internal/node/streams.go
@@ -15,10 +15,10 @@
 	"github.com/samber/oops"
 )
 
-// leavingFactTTL is how long the word that a machine leaves is kept after it was last given.
+// leavingFactTTL is how long the fact that a machine is leaving is kept after it was last published.
 const leavingFactTTL = time.Hour
 
-// factClasses tells how the facts of each mechanism spread.
+// factClasses defines how gossip spreads the facts of each mechanism.
 var factClasses = []membership.FactClass{
 	{Prefix: bundleFactKey, Urgent: true},
 	{Prefix: dispatch.WeightFactKey(""), Urgent: true},
@@ -30,7 +30,7 @@
 	return strings.CutPrefix(stream, dispatch.EngineKey(""))
 }
 
-// newState returns the empty state of a stream, by the role that owns it.
+// newState returns the empty state of a stream for the role that owns it, or an error if no role does.
 func newState(stream string) (shard.State, error) {
 	if _, isEngine := engineOfStream(stream); isEngine {
 		return dispatch.State{}, nil
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -4,17 +4,17 @@
 	"strings"
 )
 
-// trafficPrefix starts the names of the metrics that count network traffic.
+// trafficPrefix is the prefix of the names of the metrics that count network traffic.
 const trafficPrefix = "hillfork_network_"
 
 // TrafficSample is the value of one counter of network traffic.
 type TrafficSample struct {
-	// Name is the metric's name with its labels, as in "hillfork_network_bytes_total/membership/sent".
+	// Name is the name of the metric followed by its label values, as in "hillfork_network_bytes_total/membership/sent".
 	Name  string
 	Value float64
 }
 
-// Traffic returns the counters of network traffic.
+// Traffic returns the counters of network traffic; nil if the metrics cannot be gathered.
 func (n *Node) Traffic() []TrafficSample {
 	families, err := n.registry.Gather()
 	if err != nil {
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -5,16 +5,16 @@
 	"github.com/hillfork/hillfork/internal/membership"
 )
 
-// View is what a node holds to be so, for measurements of how news spreads.
+// View is the state of the cluster as known to one node. It is used to measure how fast updates propagate.
 type View struct {
 	AliveMembers  int
 	DeadMembers   int
 	BundleVersion uint64
-	// OwnedEngines are the engines that this node dispatches for, with the epoch of each.
+	// OwnedEngines maps the engines that this node dispatches for to their epochs.
 	OwnedEngines map[string]uint64
 }
 
-// View returns what the node holds now.
+// View returns the current state of the cluster as known to the node.
 func (n *Node) View() View {
 	view := View{OwnedEngines: make(map[string]uint64)}
 	for _, member := range n.membership.Members() {
@@ -36,10 +36,10 @@
 	return view
 }
 
-// KnowsLeaving tells whether the node gives an engine no new work because it leaves.
+// KnowsLeaving reports whether the node assigns no new work to an engine because the engine is leaving.
 func (n *Node) KnowsLeaving(engine string) bool { return n.directory.Leaving(engine) }
 
-// KnownWeightVersion is the newest version of a workload's weights that gossip has brought; 0 for none.
+// KnownWeightVersion returns the newest version of a workload's weights received by gossip; 0 for none.
 func (n *Node) KnownWeightVersion(workload string) uint64 {
 	fact, _ := n.membership.Fact(dispatch.WeightFactKey(workload))
 	return fact.Version
--- a/internal/node/workload_homes.go
+++ b/internal/node/workload_homes.go
@@ -8,21 +8,21 @@
 	"github.com/hillfork/hillfork/internal/platform"
 )
 
-// engineDirectory lists the engines of pools; *machines.Directory fills it.
+// engineDirectory lists the engines of pools; *machines.Directory implements it.
 type engineDirectory interface {
 	Engines(pool string) []platform.Machine
 	Changed() <-chan struct{}
 }
 
-// workloadHomes tells the region in which most engines of a workload's preferred pool stand. Its step and request shards
-// are placed there, so that neither engines nor callers nearby cross regions for them. Nodes may disagree for a while, as
-// about any placement.
+// workloadHomes caches, for each workload, the region of most engines in its preferred pool. The step and request shards of
+// the workload are placed there, so that its engines and the callers near them reach the shards without crossing regions.
+// Nodes may temporarily disagree on this region, as on any placement.
 type workloadHomes struct {
 	bundles bundle.Source
 	engines engineDirectory
 
 	mu sync.Mutex
-	// byWorkload holds until one of the channels closes.
+	// byWorkload is valid until one of the channels is closed.
 	byWorkload     map[string]placement.Preference
 	bundleChanged  <-chan struct{}
 	enginesChanged <-chan struct{}
@@ -32,7 +32,7 @@
 	return &workloadHomes{bundles: bundles, engines: engines}
 }
 
-// of returns where the shards of a workload had best be; no preference for an unknown workload.
+// of returns the preferred placement of the shards of a workload; no preference for an unknown workload.
 func (h *workloadHomes) of(workload string) placement.Preference {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -42,7 +42,8 @@
 	return h.byWorkload[workload]
 }
 
-// refresh takes the channels before what they guard, so that no change is missed.
+// refresh rebuilds byWorkload. It gets the channels before it reads the data whose changes they signal, so that no change
+// is missed. The caller holds mu.
 func (h *workloadHomes) refresh() {
 	h.bundleChanged, h.enginesChanged = h.bundles.Changed(), h.engines.Changed()
 	h.byWorkload = make(map[string]placement.Preference)
@@ -57,7 +58,7 @@
 	}
 }
 
-// commonRegion returns the region of most machines, the first by name of several; empty for no machines.
+// commonRegion returns the region of most machines, the first by name if several tie; empty for no machines.
 func commonRegion(machines []platform.Machine) string {
 	counts := make(map[string]int)
 	common := ""
@@ -72,6 +73,7 @@
 	return common
 }
 
+// closed reports whether the channel is closed, without blocking.
 func closed(changed <-chan struct{}) bool {
 	select {
 	case <-changed:
