--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -76,8 +76,8 @@
 func (n *Node) spawn(ctx context.Context, role string, run func(context.Context) error) {
 	n.running.Go(func() {
 		err := run(ctx)
-		stopping := ctx.Err() != nil || n.stopping.Load()
-		if stopping || err == nil || errors.Is(err, http.ErrServerClosed) || errors.Is(err, peer.ErrClosed) {
+		nodeStopping := ctx.Err() != nil || n.stopping.Load()
+		if nodeStopping || err == nil || errors.Is(err, http.ErrServerClosed) || errors.Is(err, peer.ErrClosed) {
 			return
 		}
 		errorlog.Error(n.logger, "role ended with an error", err, "role", role)
