--- a/internal/settings/definitions.go
+++ b/internal/settings/definitions.go
@@ -12,23 +12,23 @@
 
 const configKey = "config"
 
-// Bounds of the drain timeout.
+// Limits of the drain timeout.
 const (
 	minDrainTimeout = time.Second
 	maxDrainTimeout = time.Hour
 )
 
-// Definition describes one setting; the operators' reference is made from it.
+// Definition describes one setting. The operators' reference page is generated from all definitions.
 type Definition struct {
 	Key     string
 	Default string
 	Usage   string
 	Allowed string
-	// apply checks the value and stores it; false says that it is not allowed.
+	// apply validates and stores the value. It returns false if the value is not allowed; the settings may be modified even then.
 	apply func(*Settings, string) bool
 }
 
-// Definitions returns all settings, in the order of the reference.
+// Definitions returns the definitions of all settings, in the order of the reference page.
 func Definitions() []Definition {
 	return slices.Clone(definitions)
 }
--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -18,7 +18,7 @@
 | --- | --- | --- | --- | --- | --- |
 `
 
-// Reference returns the operators' page of all settings, as Markdown.
+// Reference returns the operators' reference page of all settings, as Markdown.
 func Reference() string {
 	var page strings.Builder
 	page.WriteString(referenceHeader)
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -8,12 +8,13 @@
 	"github.com/matryer/is"
 )
 
-// referencePage is the operators' page of settings.
+// referencePage is the path of the operators' reference page of settings.
 const referencePage = "../../docs/operators/settings.md"
 
 var update = flag.Bool("update", false, "write the operators' page of settings anew")
 
-// TestReferencePage compares the operators' page with the definitions.
+// TestReferencePage checks that the operators' reference page matches the definitions; it fails if a definition was changed
+// without regenerating the page.
 func TestReferencePage(t *testing.T) {
 	is := is.New(t)
 	if *update {
@@ -24,7 +25,7 @@
 	is.Equal(string(page), Reference())
 }
 
-// TestVariablesAreRead gives a setting by the variable that the page names.
+// TestVariablesAreRead checks that the environment variable listed on the reference page sets its setting.
 func TestVariablesAreRead(t *testing.T) {
 	is := is.New(t)
 	t.Setenv(variableOf("log-level"), "warn")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads and checks what a node is told at its start: flags, then HILLFORK_ environment variables, then a
-// YAML settings file, the first that names a key winning. Every value is checked; a bad one is reported with its key, the
-// value and what is allowed. What operators change while the system runs is in the bundle, not here.
+// Package settings reads and validates a node's startup configuration. Flags take precedence over HILLFORK_ environment
+// variables, which take precedence over a YAML settings file. Every value is validated; an invalid one is reported with its
+// key, the value and the allowed values. Configuration that operators change at run time is in the bundle, not here.
 package settings
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/peterbourgon/ff/v4/ffyaml"
 )
 
-// EnvironmentPrefix starts the names of the environment variables that are read.
+// EnvironmentPrefix is the prefix of the environment variables that are read.
 const EnvironmentPrefix = "HILLFORK"
 
-// Settings is the checked configuration of one node.
+// Settings is the validated configuration of one node.
 type Settings struct {
 	Node   string
 	Zone   string
@@ -30,7 +30,7 @@
 	PeerListen    string
 	GossipListen  string
 	MetricsListen string
-	// PeerAdvertise and GossipAdvertise are the addresses that other nodes are told; the listen addresses by default.
+	// PeerAdvertise and GossipAdvertise are the addresses advertised to other nodes; they default to the listen addresses.
 	PeerAdvertise   string
 	GossipAdvertise string
 
@@ -38,12 +38,12 @@
 	LogAddress      string
 	WeightsAddress  string
 	MachinesAddress string
-	// ScorerAddress is empty where no workload names a scorer.
+	// ScorerAddress may be empty if no workload names a scorer.
 	ScorerAddress string
 
-	// Seeds are gossip addresses of other nodes; the machine list serves where there is none.
+	// Seeds are gossip addresses of other nodes. If there are none, the machine list is used.
 	Seeds []string
-	// TrustedKeys are the partners' public keys that sign the first bundle.
+	// TrustedKeys are the public keys, by partner, that verify the signatures of the first bundle.
 	TrustedKeys map[string][]ed25519.PublicKey
 
 	DrainTimeout time.Duration
@@ -57,23 +57,24 @@
 	FormatJSON = "json"
 )
 
-// ErrHelp says that help was asked for and has been written.
+// ErrHelp is returned by Parse if help was requested and has been written.
 var ErrHelp = errors.New("help was asked for")
 
-// InvalidError names a setting whose value is not allowed.
+// InvalidError reports a setting whose value is not allowed.
 type InvalidError struct {
 	Key     string
 	Value   string
 	Allowed string
 }
 
-// Error names the key, the value and what is allowed.
+// Error returns a message with the key, the value and the allowed values.
 func (e *InvalidError) Error() string {
 	return fmt.Sprintf("setting %s: %q is not allowed; allowed: %s", e.Key, e.Value, e.Allowed)
 }
 
-// Parse reads args (without the program's name) and the environment, and checks every setting. All that is wrong is
-// reported in one error, of which each part is an *InvalidError. Help goes to helpOutput and yields ErrHelp.
+// Parse reads args (without the program's name), the environment and the settings file, and validates every setting. All
+// invalid values are reported in one joined error, of which each part is an *InvalidError. If help is requested, Parse
+// writes it to helpOutput and returns ErrHelp.
 func Parse(program string, args []string, helpOutput io.Writer) (*Settings, error) {
 	flags := ff.NewFlagSet(program)
 	raw := make(map[string]*string, len(definitions))
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -21,7 +21,7 @@
 	return append([]string{"--node", "n1", "--zone", "z1", "--region", "r1", "--trusted-keys", exampleKeys}, args...)
 }
 
-func TestBadValueNamesKeyValueAndWhatIsAllowed(t *testing.T) {
+func TestInvalidValueErrorHasKeyValueAndAllowed(t *testing.T) {
 	cases := []struct {
 		key, value, allowed string
 	}{
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestFileEnvironmentAndFlagsInOrder(t *testing.T) {
+func TestPrecedenceOfFlagsEnvironmentAndFile(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "node.yaml")
 	content := "node: from-file\nzone: from-file\nregion: from-file\ntrusted-keys: " + exampleKeys + "\n"
@@ -64,7 +64,7 @@
 	is.Equal(len(s.TrustedKeys["zollwerk"]), 1)
 }
 
-func TestUnknownKeyInFileIsRefused(t *testing.T) {
+func TestUnknownKeyInFileIsRejected(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "node.yaml")
 	is.NoErr(os.WriteFile(file, []byte("nodee: n1\n"), 0o600))
@@ -73,7 +73,7 @@
 	is.True(strings.Contains(err.Error(), "nodee"))
 }
 
-func TestYAMLReadsBack(t *testing.T) {
+func TestYAMLRoundTrip(t *testing.T) {
 	is := is.New(t)
 	want, err := parse(required("--seeds", "127.0.0.1:1,127.0.0.1:2", "--drain-timeout", "90s", "--log-format", "json")...)
 	is.NoErr(err)
@@ -84,7 +84,7 @@
 	is.Equal(got, want)
 }
 
-// FuzzParse: whatever the file says, it is refused with an error or yields settings that read back the same.
+// FuzzParse checks that any settings file is either rejected with an error or yields settings that round-trip through YAML.
 func FuzzParse(f *testing.F) {
 	f.Add("node: n1\nzone: z1\nregion: r1\ntrusted-keys: " + exampleKeys + "\n")
 	f.Add("node: [1, 2]\n")
--- a/internal/settings/write.go
+++ b/internal/settings/write.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// YAML writes settings as a settings file, which Parse reads back.
+// YAML returns the settings as the content of a settings file that Parse accepts.
 func (s *Settings) YAML() string {
 	lines := []struct{ key, value string }{
 		{"node", s.Node}, {"zone", s.Zone}, {"region", s.Region},
