--- a/internal/cli/bundle.go
+++ b/internal/cli/bundle.go
@@ -17,25 +17,26 @@
 	v1 "github.com/hillfork/hillfork/internal/gen/hillfork/v1"
 )
 
-// standardInput stands for the standard input where a file is named.
+// standardInput is the file argument that selects the standard input.
 const standardInput = "-"
 
 func (a *application) bundleCommand(parent *ff.FlagSet) *ff.Command {
-	flags := child("bundle", parent)
+	flags := childFlags("bundle", parent)
 	propose := func(ctx context.Context, arguments []string) error { return a.proposeBundle(ctx, arguments[0]) }
 	status := func(ctx context.Context, arguments []string) error { return a.bundleStatus(ctx, arguments[0]) }
 	check := func(_ context.Context, arguments []string) error { return a.checkBundle(arguments[0]) }
 	return group(flags, "check, propose, sign and show bundles",
-		a.command(child("check", flags), "hillfork bundle check FILE", "check a document without a node; - reads the standard input", []string{"FILE"}, check),
-		a.command(child("propose", flags), "hillfork bundle propose FILE", "put a document up for sign-off", []string{"FILE"}, propose),
+		a.command(childFlags("check", flags), "hillfork bundle check FILE", "check a document without a node; - reads the standard input", []string{"FILE"}, check),
+		a.command(childFlags("propose", flags), "hillfork bundle propose FILE", "put a document up for sign-off", []string{"FILE"}, propose),
 		a.signCommand(flags),
-		a.command(child("status", flags), "hillfork bundle status DIGEST", "tell how a proposal stands", []string{"DIGEST"}, status),
-		a.command(child("history", flags), "hillfork bundle history", "list the proposals, newest first", nil, a.bundleHistory),
+		a.command(childFlags("status", flags), "hillfork bundle status DIGEST", "tell how a proposal stands", []string{"DIGEST"}, status),
+		a.command(childFlags("history", flags), "hillfork bundle history", "list the proposals, newest first", nil, a.bundleHistory),
 		a.showCommand(flags),
 	)
 }
 
-// readDocument reads and decodes a document. Every problem of it is printed with its line.
+// readDocument reads and decodes a bundle document. If the document is invalid, readDocument prints every problem with its
+// line and returns an error with ExitFailed.
 func (a *application) readDocument(path string) ([]byte, *bundle.Bundle, error) {
 	document, err := a.readFile(path)
 	if err != nil {
@@ -94,7 +95,7 @@
 }
 
 func (a *application) signCommand(parent *ff.FlagSet) *ff.Command {
-	flags := child("sign", parent)
+	flags := childFlags("sign", parent)
 	options := signOptions{}
 	flags.StringVar(&options.partner, 0, "partner", "", "partner to sign for")
 	flags.StringVar(&options.keyPath, 0, "key", "", "file of the private key, as made by keys new")
@@ -146,7 +147,8 @@
 	return a.print(response.Msg, statusTable(response.Msg.GetStatus()))
 }
 
-// documentToSign reads the document from the file, or from the node and checks that it has the digest asked for.
+// documentToSign reads the document from the file, or fetches it from the node and verifies that it has the requested
+// digest.
 func (a *application) documentToSign(ctx context.Context, options signOptions) (*bundle.Bundle, error) {
 	if options.file != "" {
 		_, decoded, err := a.readDocument(options.file)
@@ -198,13 +200,13 @@
 }
 
 func (a *application) showCommand(parent *ff.FlagSet) *ff.Command {
-	flags := child("show", parent)
+	flags := childFlags("show", parent)
 	digest := flags.StringLong("digest", "", "digest of a proposal; left out, the bundle in force is shown")
 	show := func(ctx context.Context, _ []string) error { return a.showBundle(ctx, *digest) }
 	return a.command(flags, "hillfork bundle show [--digest DIGEST]", "print a bundle's document as JSON", nil, show)
 }
 
-// showBundle prints the document, on one line for JSON output and indented for people.
+// showBundle prints the document, on one line for JSON output and indented otherwise.
 func (a *application) showBundle(ctx context.Context, digest string) error {
 	response, err := a.getBundle(ctx, digest)
 	if err != nil {
@@ -231,7 +233,7 @@
 	return shown
 }
 
-// stateText writes BUNDLE_STATE_IN_FORCE as "in force".
+// stateText returns a state as lower-case words: "in force" for BUNDLE_STATE_IN_FORCE.
 func stateText(state v1.BundleState) string {
 	text := strings.TrimPrefix(state.String(), "BUNDLE_STATE_")
 	return strings.ToLower(strings.ReplaceAll(text, "_", " "))
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of operators and callers: it turns commands into calls of a node's services, and
-// outcomes into text or JSON and an exit code.
+// Package cli implements the command line for operators and callers. It translates commands into calls to a node's
+// services, and their outcomes into text or JSON and an exit code.
 package cli
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/peterbourgon/ff/v4/ffhelp"
 )
 
-// environmentPrefix begins the variables that set flags: HILLFORK_SERVER sets --server.
+// environmentPrefix is the prefix of the environment variables that set flags: HILLFORK_SERVER sets --server.
 const environmentPrefix = "HILLFORK"
 
 // Streams are the standard streams of the command.
@@ -23,7 +23,7 @@
 	Err io.Writer
 }
 
-// application is one run of the command line.
+// application holds the streams and global flags of one invocation of the command line.
 type application struct {
 	streams Streams
 	server  string
@@ -52,7 +52,8 @@
   hillfork --output json engines
   hillfork request --workload desk --prompt 1,2,3 --max-tokens 64`
 
-// Run runs one command and returns its exit code. Flags may also be set by the environment, as HILLFORK_SERVER.
+// Run executes one command and returns its exit code. Flags can also be set by environment variables; HILLFORK_SERVER sets
+// --server.
 func Run(ctx context.Context, arguments []string, streams Streams) ExitCode {
 	app := &application{streams: streams}
 	root := app.rootCommand()
@@ -62,18 +63,18 @@
 		return ExitDone
 	}
 	if err != nil {
-		return app.fail(usageError("%v; see --help", err))
+		return app.reportError(usageError("%v; see --help", err))
 	}
 	err = root.Run(ctx)
 	if errors.Is(err, ff.ErrNoExec) {
 		fmt.Fprintln(streams.Err, ffhelp.Command(root))
 		return ExitUsage
 	}
-	return app.fail(err)
+	return app.reportError(err)
 }
 
-// fail prints an error, if there is one, and returns the exit code that it stands for.
-func (a *application) fail(err error) ExitCode {
+// reportError prints a non-nil error and returns its exit code: ExitDone for nil, and ExitFailed for an error without a code.
+func (a *application) reportError(err error) ExitCode {
 	if err == nil {
 		return ExitDone
 	}
@@ -113,10 +114,10 @@
 	}
 }
 
-// action is what a command does with its arguments. ctx ends when --timeout has passed.
+// action executes a command with its arguments. ctx expires after --timeout.
 type action func(ctx context.Context, arguments []string) error
 
-// command makes a command that takes the named arguments, each exactly once.
+// command returns a command that requires exactly one value for each name in names.
 func (a *application) command(flags *ff.FlagSet, usage, help string, names []string, run action) *ff.Command {
 	return &ff.Command{
 		Name:      flags.GetName(),
@@ -134,13 +135,13 @@
 	}
 }
 
-// group makes a command that only holds others.
+// group returns a command that has only subcommands and does nothing itself.
 func group(flags *ff.FlagSet, help string, commands ...*ff.Command) *ff.Command {
 	name := flags.GetName()
 	return &ff.Command{Name: name, Usage: "hillfork " + name + " COMMAND ...", ShortHelp: help, Flags: flags, Subcommands: commands}
 }
 
-// child makes the flags of a command below another, whose flags it takes as well.
-func child(name string, parent *ff.FlagSet) *ff.FlagSet {
+// childFlags returns the flag set of a subcommand, which also accepts the flags of its parent.
+func childFlags(name string, parent *ff.FlagSet) *ff.FlagSet {
 	return ff.NewFlagSet(name).SetParent(parent)
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -19,7 +19,7 @@
 	"github.com/hillfork/hillfork/internal/gen/hillfork/v1/hillforkv1connect"
 )
 
-// fakeNode answers as a test sets it.
+// fakeNode is a fake node whose responses are set by the test.
 type fakeNode struct {
 	hillforkv1connect.UnimplementedAdminServiceHandler
 	hillforkv1connect.UnimplementedSampleServiceHandler
@@ -85,13 +85,13 @@
 	return n.failure
 }
 
-// runResult is what a run of the command line printed and returned.
+// runResult is the output and exit code of one invocation of the command line.
 type runResult struct {
 	code     ExitCode
 	out, err string
 }
 
-// run runs the command line against a node; nil stands for one that cannot be reached.
+// run executes the command line against a fake node. If node is nil, the node can't be reached.
 func run(t *testing.T, node *fakeNode, arguments ...string) runResult {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -111,7 +111,8 @@
 	return runResult{code: code, out: out.String(), err: errors.String()}
 }
 
-// testFiles writes a key and a document that names it, and returns their paths.
+// testFiles writes a private key and a bundle document that contains its public key, and returns their paths and the
+// decoded document.
 func testFiles(t *testing.T) (key, document string, decoded *bundle.Bundle) {
 	t.Helper()
 	is := is.New(t)
@@ -135,9 +136,9 @@
 	key, document, decoded := testFiles(t)
 	digest := digestOf(decoded)
 	checked := run(t, nil, "bundle", "check", document)
-	is.Equal(checked.code, ExitDone) // needs no node
+	is.Equal(checked.code, ExitDone) // check works without a node
 	is.True(strings.Contains(checked.out, digest))
-	is.Equal(run(t, nil, "keys", "new", "--out", key).code, ExitFailed) // never overwrites a key
+	is.Equal(run(t, nil, "keys", "new", "--out", key).code, ExitFailed) // an existing key file is never overwritten
 
 	node := &fakeNode{document: bundle.Canonical(decoded)}
 	proposed := run(t, node, "bundle", "propose", "--output", "json", document)
@@ -153,7 +154,7 @@
 	node.signed = nil
 	other := strings.Repeat("0", 64)
 	refused := run(t, node, "bundle", "sign", "--partner", "zollwerk", "--key", key, "--digest", other)
-	is.Equal(refused.code, ExitFailed) // the node's document is not the one asked for
+	is.Equal(refused.code, ExitFailed) // the digest of the node's document differs from the requested one
 	is.True(node.signed == nil)
 	is.True(strings.Contains(run(t, node, "bundle", "status", digest).out, "in force"))
 	is.Equal(run(t, node, "bundle", "show", "--output", "json").out, string(node.document)+"\n")
@@ -164,7 +165,7 @@
 	is.True(strings.Contains(bad.err, document+": line 3: parts: unknown key"))
 }
 
-func TestExitCodesOfChanges(t *testing.T) {
+func TestExitCodesOfFailedChanges(t *testing.T) {
 	_, document, _ := testFiles(t)
 	for _, test := range []struct {
 		name string
@@ -203,7 +204,7 @@
 	}
 }
 
-func TestListsFollowPages(t *testing.T) {
+func TestListsReadAllPages(t *testing.T) {
 	is := is.New(t)
 	shown := run(t, &fakeNode{}, "nodes")
 	is.Equal(shown.code, ExitDone)
@@ -212,7 +213,7 @@
 	is.Equal(strings.Fields(lines[1]), []string{"node-1", "-", "linz-a", "-", "alive", "0", "7"})
 	is.True(strings.Contains(shown.err, "1 to 20 ms"))
 	is.Equal(run(t, nil, "nodes").code, ExitNotRun)
-	is.Equal(run(t, &fakeNode{}, "engines").code, ExitFailed) // the fake refuses: unimplemented
+	is.Equal(run(t, &fakeNode{}, "engines").code, ExitFailed) // the fake returns CodeUnimplemented
 }
 
 func TestSampleCommands(t *testing.T) {
@@ -252,7 +253,7 @@
 			is.Equal(result.code, test.want)
 			is.Equal(node.executed.GetPrompt(), []uint32{1, 2})
 			is.True(node.executed.GetUnsafeToRepeat())
-			is.True(!strings.Contains(result.out, "9")) // nothing of another's answer is shown
+			is.True(!strings.Contains(result.out, "9")) // the answer to another request is not printed
 		})
 	}
 	is := is.New(t)
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -10,7 +10,7 @@
 	"github.com/hillfork/hillfork/internal/gen/hillfork/v1/hillforkv1connect"
 )
 
-// listPageSize is how many items are asked for at once.
+// listPageSize is the number of items requested per page.
 const listPageSize = 100
 
 func (a *application) baseURL() string {
@@ -29,13 +29,14 @@
 	return hillforkv1connect.NewRequestServiceClient(http.DefaultClient, a.baseURL())
 }
 
-// listResponse is an answer that holds one page of a list.
+// listResponse is a response that contains one page of a list.
 type listResponse interface {
 	GetNextPageToken() string
 	GetFreshness() *v1.Freshness
 }
 
-// readPages asks for page after page until the list ends, and hands each to take.
+// readPages requests all pages of a list in turn and passes each response to visit. It stops at an empty or repeated page
+// token.
 func readPages[Q any, P any, R interface {
 	*P
 	listResponse
@@ -43,7 +44,7 @@
 	ctx context.Context,
 	call func(context.Context, *connect.Request[Q]) (*connect.Response[P], error),
 	request func(page *v1.Page) *Q,
-	take func(R),
+	visit func(R),
 ) error {
 	token := ""
 	for {
@@ -52,11 +53,11 @@
 		if err != nil {
 			return readError(err)
 		}
-		answer := R(response.Msg)
-		take(answer)
-		if answer.GetNextPageToken() == "" || answer.GetNextPageToken() == token {
+		list := R(response.Msg)
+		visit(list)
+		if list.GetNextPageToken() == "" || list.GetNextPageToken() == token {
 			return nil
 		}
-		token = answer.GetNextPageToken()
+		token = list.GetNextPageToken()
 	}
 }
--- a/internal/cli/cluster.go
+++ b/internal/cli/cluster.go
@@ -14,7 +14,7 @@
 )
 
 func (a *application) nodesCommand(parent *ff.FlagSet) *ff.Command {
-	return a.command(child("nodes", parent), "hillfork nodes", "list the nodes", nil, a.listNodes)
+	return a.command(childFlags("nodes", parent), "hillfork nodes", "list the nodes", nil, a.listNodes)
 }
 
 func (a *application) listNodes(ctx context.Context, _ []string) error {
@@ -36,7 +36,7 @@
 }
 
 func (a *application) enginesCommand(parent *ff.FlagSet) *ff.Command {
-	return a.command(child("engines", parent), "hillfork engines", "list the model engines", nil, a.listEngines)
+	return a.command(childFlags("engines", parent), "hillfork engines", "list the model engines", nil, a.listEngines)
 }
 
 func (a *application) listEngines(ctx context.Context, _ []string) error {
@@ -58,7 +58,7 @@
 	return a.print(all, shown)
 }
 
-// servedText writes the versions served as "model@version", in order of model.
+// servedText formats the served versions as "model@version", sorted by model and separated by commas.
 func servedText(served map[string]uint64) string {
 	var parts []string
 	for _, model := range slices.Sorted(maps.Keys(served)) {
@@ -68,7 +68,7 @@
 }
 
 func (a *application) shardsCommand(parent *ff.FlagSet) *ff.Command {
-	return a.command(child("shards", parent), "hillfork shards", "list the shards and their owners", nil, a.listShards)
+	return a.command(childFlags("shards", parent), "hillfork shards", "list the shards and their owners", nil, a.listShards)
 }
 
 func (a *application) listShards(ctx context.Context, _ []string) error {
@@ -90,7 +90,7 @@
 }
 
 func (a *application) stepsCommand(parent *ff.FlagSet) *ff.Command {
-	flags := child("steps", parent)
+	flags := childFlags("steps", parent)
 	workload := flags.StringLong("workload", "", "training workload whose steps are listed")
 	list := func(ctx context.Context, _ []string) error { return a.listSteps(ctx, *workload) }
 	return a.command(flags, "hillfork steps --workload NAME", "list the training steps of a workload", nil, list)
@@ -119,7 +119,7 @@
 
 func (a *application) drainCommand(parent *ff.FlagSet) *ff.Command {
 	drain := func(ctx context.Context, arguments []string) error { return a.drain(ctx, arguments[0]) }
-	return a.command(child("drain", parent), "hillfork drain NODE", "stop a node as planned", []string{"NODE"}, drain)
+	return a.command(childFlags("drain", parent), "hillfork drain NODE", "stop a node as planned", []string{"NODE"}, drain)
 }
 
 func (a *application) drain(ctx context.Context, node string) error {
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -8,32 +8,31 @@
 	"connectrpc.com/connect"
 )
 
-// ExitCode tells the outcome of a command to scripts.
+// ExitCode reports the outcome of a command to scripts.
 type ExitCode int
 
 // Exit codes.
 const (
-	// ExitDone says that the command did what was asked.
+	// ExitDone means that the command succeeded.
 	ExitDone ExitCode = iota
-	// ExitFailed says that it was refused or failed, and nothing was changed.
+	// ExitFailed means that the command was refused or failed, and nothing was changed.
 	ExitFailed
-	// ExitUsage says that the command line is wrong.
+	// ExitUsage means that the command line is invalid.
 	ExitUsage
-	// ExitNotRun says that the node was not reached or had no room, and nothing was changed.
+	// ExitNotRun means that the node could not be reached or had no free capacity, and nothing was changed.
 	ExitNotRun
-	// ExitUnknown says that what was asked may have been done.
+	// ExitUnknown means that the command may or may not have taken effect.
 	ExitUnknown
-	// ExitCancelled says that the request was cancelled.
+	// ExitCancelled means that the request was cancelled.
 	ExitCancelled
 )
 
-// exitError is an error with its exit code.
+// exitError is an error with the exit code of the command.
 type exitError struct {
 	code    ExitCode
 	message string
 }
 
-// Error returns the message.
 func (e *exitError) Error() string {
 	return e.message
 }
@@ -42,8 +41,8 @@
 	return &exitError{code: ExitUsage, message: fmt.Sprintf(format, arguments...)}
 }
 
-// refusals are the codes by which a node says that it did nothing.
-var refusals = map[connect.Code]bool{
+// refusalCodes are the codes with which a node refuses a call without having changed anything.
+var refusalCodes = map[connect.Code]bool{
 	connect.CodeInvalidArgument:    true,
 	connect.CodeNotFound:           true,
 	connect.CodeAlreadyExists:      true,
@@ -54,8 +53,8 @@
 	connect.CodeUnimplemented:      true,
 }
 
-// changeError gives the error of a call that changes something its exit code. Unless it is known that nothing was
-// changed, the outcome is unknown.
+// changeError wraps the error of a call that changes state with its exit code, which is ExitUnknown unless it is certain
+// that nothing was changed.
 func changeError(err error) error {
 	if err == nil {
 		return nil
@@ -70,7 +69,7 @@
 		return ExitNotRun
 	case !connect.IsWireError(err):
 		return ExitUnknown
-	case refusals[code]:
+	case refusalCodes[code]:
 		return ExitFailed
 	case code == connect.CodeResourceExhausted:
 		return ExitNotRun
@@ -79,7 +78,7 @@
 	}
 }
 
-// readError gives the error of a call that changes nothing its exit code.
+// readError wraps the error of a read-only call with its exit code.
 func readError(err error) error {
 	if err == nil {
 		return nil
@@ -90,7 +89,7 @@
 	return &exitError{code: ExitFailed, message: err.Error()}
 }
 
-// neverConnected tells whether no connection to the node came about.
+// neverConnected reports whether the call failed because no connection to the node could be established.
 func neverConnected(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -10,8 +10,8 @@
 
 const explainUsage = "hillfork explain (ID | --steps | --step JOB | --fleet) < LOGS"
 
-// explainCommand tells from log lines on the standard input the story of an id, where the time of steps went, or how replicas stand.
-// It calls no node.
+// explainCommand returns the command that reads log lines from the standard input and prints the history of an ID, how the
+// time of steps was spent, or the state of each replica. It calls no node.
 func (a *application) explainCommand(parent *ff.FlagSet) *ff.Command {
 	flags := ff.NewFlagSet("explain").SetParent(parent)
 	var steps, fleet bool
@@ -34,7 +34,7 @@
 			case step != "" && !steps && !fleet && len(arguments) == 0:
 				return a.explainStep(step)
 			case !steps && !fleet && step == "" && len(arguments) == 1:
-				return a.explainStory(arguments[0])
+				return a.explainID(arguments[0])
 			default:
 				return usageError("explain takes one of ID, --steps, --step and --fleet; usage: %s", explainUsage)
 			}
@@ -42,26 +42,26 @@
 	}
 }
 
-func (a *application) explainStory(id string) error {
-	story, err := explain.Read(a.streams.In, id)
+func (a *application) explainID(id string) error {
+	history, err := explain.Read(a.streams.In, id)
 	if err != nil {
 		return err
 	}
-	return story.Write(a.streams.Out)
+	return history.Write(a.streams.Out)
 }
 
 func (a *application) explainSteps() error {
-	day, err := explain.ReadDay(a.streams.In)
+	report, err := explain.ReadDay(a.streams.In)
 	if err != nil {
 		return usageError("the lines can't be read: %v", err)
 	}
-	if len(day.Steps) == 0 {
+	if len(report.Steps) == 0 {
 		return usageError("%v", explain.ErrNoSteps)
 	}
 	if a.output == outputJSON {
-		return json.NewEncoder(a.streams.Out).Encode(day)
+		return json.NewEncoder(a.streams.Out).Encode(report)
 	}
-	return day.WriteSteps(a.streams.Out)
+	return report.WriteSteps(a.streams.Out)
 }
 
 func (a *application) explainFleet() error {
@@ -79,16 +79,16 @@
 }
 
 func (a *application) explainStep(job string) error {
-	day, err := explain.ReadDay(a.streams.In)
+	report, err := explain.ReadDay(a.streams.In)
 	if err != nil {
 		return usageError("the lines can't be read: %v", err)
 	}
-	step, err := day.Step(job)
+	step, err := report.Step(job)
 	if err != nil {
 		return usageError("%v", err)
 	}
 	if a.output == outputJSON {
 		return json.NewEncoder(a.streams.Out).Encode(step)
 	}
-	return day.WritePath(a.streams.Out, step)
+	return report.WritePath(a.streams.Out, step)
 }
--- a/internal/cli/explain_test.go
+++ b/internal/cli/explain_test.go
@@ -17,7 +17,8 @@
 
 const fleetLog = "front-1 2026-03-01T08:00:00Z INFO started node=front-1\nfront-1 2026-03-01T08:00:01Z INFO ready configuration=3\n"
 
-// TestExplainFlags checks what explain prints, and that it says so with the code for bad usage where nothing can be told.
+// TestExplainFlags checks what explain prints for each flag, and that it fails with ExitUsage and a message if the flags
+// conflict or the input has nothing to explain.
 func TestExplainFlags(t *testing.T) {
 	tests := []struct {
 		name      string
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -10,22 +10,23 @@
 	"github.com/hillfork/hillfork/internal/bundle"
 )
 
-// privateFileMode lets only the owner read a key file.
+// privateFileMode restricts a key file to its owner.
 const privateFileMode = 0o600
 
 func (a *application) keysCommand(parent *ff.FlagSet) *ff.Command {
-	flags := child("keys", parent)
+	flags := childFlags("keys", parent)
 	return group(flags, "make the keys that sign bundles", a.newKeyCommand(flags))
 }
 
 func (a *application) newKeyCommand(parent *ff.FlagSet) *ff.Command {
-	flags := child("new", parent)
+	flags := childFlags("new", parent)
 	path := flags.StringLong("out", "", "file for the private key; it must not exist")
 	run := func(_ context.Context, _ []string) error { return a.newKey(*path) }
 	return a.command(flags, "hillfork keys new --out FILE", "make a key pair; prints the public key", nil, run)
 }
 
-// newKey writes the private key to a new file and prints the public one, as bundles and settings hold it.
+// newKey writes a new private key to path, which must not exist, and prints the public key in the format of bundles and
+// settings.
 func (a *application) newKey(path string) error {
 	if path == "" {
 		return usageError("--out is missing")
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -18,7 +18,7 @@
 	outputJSON  = "json"
 )
 
-// table is what is printed for people.
+// table is the human-readable form of a result.
 type table struct {
 	header []string
 	rows   [][]string
@@ -35,7 +35,7 @@
 	t.rows = append(t.rows, row)
 }
 
-// print writes the table, or the message where JSON is asked for.
+// print writes the message for JSON output, else the table.
 func (a *application) print(message proto.Message, shown table) error {
 	if a.output == outputJSON {
 		return a.printMessage(message)
@@ -52,7 +52,7 @@
 	return writer.Flush()
 }
 
-// printMessage writes a message as one line of JSON with the field names of the protocol.
+// printMessage writes a message as one line of JSON with the field names of the protobuf definition.
 func (a *application) printMessage(message proto.Message) error {
 	encoded, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(message)
 	if err != nil {
@@ -71,7 +71,8 @@
 	return err
 }
 
-// printFreshness tells people how old the answer is; JSON holds it anyway.
+// printFreshness writes the age of the returned data to the standard error. It prints nothing for JSON output, which
+// already contains the age.
 func (a *application) printFreshness(freshness *v1.Freshness) {
 	if a.output == outputJSON || freshness == nil {
 		return
--- a/internal/cli/request.go
+++ b/internal/cli/request.go
@@ -13,12 +13,12 @@
 	v1 "github.com/hillfork/hillfork/internal/gen/hillfork/v1"
 )
 
-// outcomeReserve is the part of --timeout, one in so many, kept for the outcome of a request that took too long to
-// come back.
-const outcomeReserve = 10
+// outcomeReserveDivisor divides --timeout to give the time that is reserved for the outcome of a timed-out request to
+// arrive. The node gets the rest as the timeout of the request.
+const outcomeReserveDivisor = 10
 
 func (a *application) requestCommand(parent *ff.FlagSet) *ff.Command {
-	flags := child("request", parent)
+	flags := childFlags("request", parent)
 	workload := flags.StringLong("workload", "", "interactive workload")
 	id := flags.StringLong("id", "", "identity of the request; needed with --unsafe, else made up")
 	prompt := flags.StringLong("prompt", "", "tokens of the prompt, such as 1,2,3")
@@ -26,17 +26,17 @@
 	seed := flags.Uint64Long("seed", 0, "seed of the sampling")
 	unsafe := flags.BoolLong("unsafe", "unsafe to repeat: runs at most once under its --id")
 	run := func(ctx context.Context, _ []string) error {
-		most, err := positive("max-tokens", *tokens)
+		maxTokens, err := positiveInt32("max-tokens", *tokens)
 		if err != nil {
 			return err
 		}
 		return a.execute(ctx, *prompt, &v1.ExecuteRequest{
 			Workload:       *workload,
 			RequestId:      *id,
-			MaxTokens:      most,
+			MaxTokens:      maxTokens,
 			Seed:           *seed,
 			UnsafeToRepeat: *unsafe,
-			TimeoutMillis:  (a.timeout - a.timeout/outcomeReserve).Milliseconds(),
+			TimeoutMillis:  (a.timeout - a.timeout/outcomeReserveDivisor).Milliseconds(),
 		})
 	}
 	usage := "hillfork request --workload NAME --prompt 1,2,3 [--id ID] [--unsafe]"
@@ -68,7 +68,8 @@
 	return a.printAnswer(request.GetRequestId(), stream)
 }
 
-// printAnswer prints the parts of an answer as they come. An answer that ends without an outcome may have run.
+// printAnswer prints the parts of an answer as they arrive. If the answer ends without an outcome, the request may have
+// run.
 func (a *application) printAnswer(id string, stream *connect.ServerStreamForClient[v1.ExecuteResponse]) error {
 	defer func() { _ = stream.Close() }()
 	received := 0
@@ -82,7 +83,7 @@
 		}
 		received += len(message.GetTokens())
 		if message.GetOutcome() != v1.Outcome_OUTCOME_UNSPECIFIED {
-			return a.finish(message, received)
+			return a.reportOutcome(message, received)
 		}
 	}
 	if err := stream.Err(); err != nil {
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// finish turns the outcome of a request into an exit code.
-func (a *application) finish(message *v1.ExecuteResponse, received int) error {
+// reportOutcome prints the outcome of a completed request, and returns an error with an exit code for any other outcome.
+func (a *application) reportOutcome(message *v1.ExecuteResponse, received int) error {
 	switch message.GetOutcome() {
 	case v1.Outcome_OUTCOME_COMPLETED:
 		if received != int(message.GetTotalTokens()) {
--- a/internal/cli/samples.go
+++ b/internal/cli/samples.go
@@ -16,12 +16,12 @@
 )
 
 func (a *application) sampleCommand(parent *ff.FlagSet) *ff.Command {
-	flags := child("sample", parent)
+	flags := childFlags("sample", parent)
 	return group(flags, "submit training steps and fetch their samples", a.submitCommand(flags), a.fetchCommand(flags))
 }
 
 func (a *application) submitCommand(parent *ff.FlagSet) *ff.Command {
-	flags := child("submit", parent)
+	flags := childFlags("submit", parent)
 	request := &v1.SubmitStepRequest{}
 	workload := flags.StringLong("workload", "", "training workload")
 	step := flags.Uint64Long("step", 0, "number of the step")
@@ -29,13 +29,13 @@
 	samples := flags.IntLong("samples-per-prompt", 1, "samples for each prompt")
 	tokens := flags.IntLong("max-tokens", 0, "longest answer, in tokens")
 	submit := func(ctx context.Context, _ []string) error {
-		perPrompt, samplesError := positive("samples-per-prompt", *samples)
-		most, tokensError := positive("max-tokens", *tokens)
+		perPrompt, samplesError := positiveInt32("samples-per-prompt", *samples)
+		maxTokens, tokensError := positiveInt32("max-tokens", *tokens)
 		if err := errors.Join(samplesError, tokensError); err != nil {
 			return err
 		}
 		request.Workload, request.Step = *workload, *step
-		request.SamplesPerPrompt, request.MaxTokens = perPrompt, most
+		request.SamplesPerPrompt, request.MaxTokens = perPrompt, maxTokens
 		return a.submitStep(ctx, request, *prompts)
 	}
 	usage := "hillfork sample submit --workload NAME --step N --prompts FILE --samples-per-prompt N --max-tokens N"
@@ -67,15 +67,15 @@
 }
 
 func (a *application) fetchCommand(parent *ff.FlagSet) *ff.Command {
-	flags := child("fetch", parent)
+	flags := childFlags("fetch", parent)
 	workload := flags.StringLong("workload", "", "training workload")
 	step := flags.Uint64Long("step", 0, "number of the step")
 	cursor := flags.IntLong("cursor", 0, "every position below it has arrived")
 	version := flags.Uint64Long("trainer-version", 0, "newest version that the trainer has published")
-	most := flags.IntLong("max", 64, "most samples to fetch")
+	limit := flags.IntLong("max", 64, "most samples to fetch")
 	wait := flags.DurationLong("wait", 5*time.Second, "how long to wait for the next sample")
 	fetch := func(ctx context.Context, _ []string) error {
-		mostSamples, err := positive("max", *most)
+		maxSamples, err := positiveInt32("max", *limit)
 		if err != nil {
 			return err
 		}
@@ -87,7 +87,7 @@
 			Step:           *step,
 			Cursor:         int32(*cursor),
 			TrainerVersion: *version,
-			MaxSamples:     mostSamples,
+			MaxSamples:     maxSamples,
 			WaitMillis:     wait.Milliseconds(),
 		})
 	}
@@ -117,7 +117,7 @@
 	return a.print(response.Msg, shown)
 }
 
-// spansText writes the spans of a sample as "0-20@3,20-31@4".
+// spansText formats the spans of a sample as "FROM-TO@VERSION", such as "0-20@3,20-31@4".
 func spansText(spans []*v1.VersionSpan) string {
 	var parts []string
 	for _, span := range spans {
@@ -133,8 +133,9 @@
 	return fmt.Sprintf("%.4g", sample.GetReward())
 }
 
-// positive checks a number that a flag gives and that the protocol holds in 32 bits.
-func positive(flag string, value int) (int32, error) {
+// positiveInt32 returns the value of a flag as an int32, the type of the protocol field, or a usage error if the value is
+// not positive or doesn't fit.
+func positiveInt32(flag string, value int) (int32, error) {
 	if value <= 0 || value > math.MaxInt32 {
 		return 0, usageError("--%s must be from 1 to %d, not %d", flag, math.MaxInt32, value)
 	}
