--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -1,5 +1,5 @@
-// Package network is the rim between the system and its sockets. Everything that dials or listens does it through a
-// Network, so that the same nodes run over the operating system's sockets and over an in-memory network in virtual time.
+// Package network abstracts socket access. All code that dials or listens uses a Network, so that the same nodes can run
+// over the operating system's sockets or over an in-memory network in virtual time.
 package network
 
 import (
@@ -11,9 +11,9 @@
 type Network interface {
 	// DialContext opens a stream connection to address.
 	DialContext(ctx context.Context, address string) (net.Conn, error)
-	// Listen accepts stream connections at address; port 0 chooses a free port.
+	// Listen opens a listener for stream connections on address; port 0 chooses a free port.
 	Listen(address string) (net.Listener, error)
-	// ListenPacket sends and receives datagrams at address; port 0 chooses a free port.
+	// ListenPacket opens a datagram socket on address; port 0 chooses a free port.
 	ListenPacket(address string) (net.PacketConn, error)
 }
 
--- a/internal/network/simnet/conn.go
+++ b/internal/network/simnet/conn.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// networkName is the network of addresses and errors.
+// networkName is the network name in addresses and errors.
 const networkName = "tcp"
 
 // conn is one end of a link. Its fields are guarded by link.mu.
@@ -18,17 +18,17 @@
 	in, out       *pipe
 	local, remote *net.TCPAddr
 	closed        bool
-	// writesEnded says that the end of the stream was sent.
+	// writesEnded is set when the end of the stream was sent.
 	writesEnded bool
-	// writeError is why writes fail; nil while they work.
+	// writeError is the error that writes return; nil while they succeed.
 	writeError    error
 	readDeadline  deadline
 	writeDeadline deadline
-	// resetSent says that the peer was told that its data is refused.
+	// resetSent is set when a reset was sent to the peer.
 	resetSent bool
 }
 
-// newLink connects two hosts and returns the ends of the dialing and of the accepting one.
+// newLink connects two hosts and returns the connection ends of the dialing and the accepting host.
 func newLink(n *Network, from, to *host, fromPort, toPort int) (dialed, accepted *conn) {
 	shared := &link{network: n}
 	forth, back := newPipe(shared, from, to), newPipe(shared, to, from)
@@ -60,7 +60,7 @@
 			return 0, nil
 		}
 		if !c.link.network.isPaused(c.host) {
-			if n := c.take(into); n > 0 {
+			if n := c.readReceived(into); n > 0 {
 				return n, nil
 			}
 			if c.in.end != nil {
@@ -71,8 +71,8 @@
 	}
 }
 
-// take copies what was received and makes room for the writer.
-func (c *conn) take(into []byte) int {
+// readReceived copies received bytes to into, which frees buffer space for the writer.
+func (c *conn) readReceived(into []byte) int {
 	n := copy(into, c.in.received)
 	if n == 0 {
 		return 0
@@ -94,7 +94,7 @@
 		if err := c.writable(); err != nil {
 			return written, c.failure("write", err)
 		}
-		step := min(c.out.room(), len(data)-written)
+		step := min(c.out.freeBytes(), len(data)-written)
 		if step > 0 {
 			c.out.push(segmentData, append([]byte(nil), data[written:written+step]...))
 			c.host.traffic.streamSent.Add(uint64(step))
@@ -124,7 +124,7 @@
 	}
 }
 
-// failure wraps an error as the net package does; io.EOF stays bare.
+// failure wraps an error as the net package does; io.EOF is returned unwrapped.
 func (c *conn) failure(operation string, err error) error {
 	if err == io.EOF {
 		return err
@@ -132,7 +132,7 @@
 	return &net.OpError{Op: operation, Net: networkName, Source: c.local, Addr: c.remote, Err: err}
 }
 
-// Close implements net.Conn. What was written still arrives.
+// Close implements net.Conn. Data already written is still delivered.
 func (c *conn) Close() error {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
@@ -140,11 +140,11 @@
 		return c.failure("close", net.ErrClosed)
 	}
 	c.endWrites()
-	c.shut()
+	c.release()
 	return nil
 }
 
-// CloseWrite ends the stream to the peer; reading goes on.
+// CloseWrite ends the stream to the peer; reads still work.
 func (c *conn) CloseWrite() error {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
@@ -163,8 +163,8 @@
 	}
 }
 
-// shut frees the end and wakes its blocked calls; link.mu is held.
-func (c *conn) shut() {
+// release marks the connection end closed, removes it from its host and wakes its blocked calls; link.mu is held.
+func (c *conn) release() {
 	c.closed = true
 	c.in.received = nil
 	c.readDeadline.stop()
@@ -177,7 +177,7 @@
 	delete(c.host.conns, c)
 }
 
-// abort fails the end at once, for the crash of its host. What had left arrives, and then a reset.
+// abort closes the connection end when its host crashes. The peer receives the data already transmitted, then a reset.
 func (c *conn) abort(reason error) {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
@@ -188,10 +188,10 @@
 	c.resetSent = true
 	c.out.dropHeld()
 	c.out.push(segmentReset, nil)
-	c.shut()
+	c.release()
 }
 
-// dropHeld drops what a paused host had not let go.
+// dropHeld drops the segments written while the host was paused and not yet transmitted.
 func (p *pipe) dropHeld() {
 	kept := 0
 	for kept < len(p.queue) && !p.queue[kept].held {
@@ -211,7 +211,7 @@
 	}
 }
 
-// failWrites is called when the peer's end is gone; link.mu is held.
+// failWrites makes writes fail with reason after the peer's reset; link.mu is held.
 func (c *conn) failWrites(reason error) {
 	if c.writeError == nil {
 		c.writeError = reason
@@ -220,7 +220,7 @@
 	c.out.changed.Broadcast()
 }
 
-// wake lets blocked calls look at the state again.
+// wake wakes blocked calls so that they check the state again.
 func (c *conn) wake() {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
--- a/internal/network/simnet/deadline.go
+++ b/internal/network/simnet/deadline.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// deadline is a point in time at which waiting calls are woken. Its users guard it with their own mutex.
+// deadline is a time at which blocked calls are woken. The caller's mutex guards it.
 type deadline struct {
 	at    time.Time
 	timer *time.Timer
@@ -12,8 +12,8 @@
 func (d *deadline) set(at time.Time, wake func()) {
 	d.stop()
 	d.at = at
-	if left := time.Until(at); !at.IsZero() && left > 0 {
-		d.timer = time.AfterFunc(left, wake)
+	if remaining := time.Until(at); !at.IsZero() && remaining > 0 {
+		d.timer = time.AfterFunc(remaining, wake)
 	}
 }
 
--- a/internal/network/simnet/fault.go
+++ b/internal/network/simnet/fault.go
@@ -8,41 +8,41 @@
 	"github.com/hillfork/hillfork/internal/network"
 )
 
-// Selector chooses places.
+// Selector reports whether it matches a place.
 type Selector func(Place) bool
 
-// ByIP chooses hosts.
+// ByIP matches hosts by IP address.
 func ByIP(ips ...string) Selector {
 	return func(p Place) bool { return slices.Contains(ips, p.IP) }
 }
 
-// ByZone chooses zones.
+// ByZone matches all places in the given zones.
 func ByZone(zones ...string) Selector {
 	return func(p Place) bool { return slices.Contains(zones, p.Zone) }
 }
 
-// ByRegion chooses regions.
+// ByRegion matches all places in the given regions.
 func ByRegion(regions ...string) Selector {
 	return func(p Place) bool { return slices.Contains(regions, p.Region) }
 }
 
-// Everywhere chooses all places.
+// Everywhere matches all places.
 func Everywhere(Place) bool { return true }
 
-// Not chooses the places that the selector does not.
+// Not matches the places that selector does not match.
 func Not(selector Selector) Selector {
 	return func(p Place) bool { return !selector(p) }
 }
 
-// Rule is a fault in one direction. It does not touch what a host sends to itself.
+// Rule is a fault in one direction. It does not apply to traffic from a host to itself.
 type Rule struct {
 	From Selector
 	To   Selector
-	// Cut drops all datagrams, and holds streams and dials up until it is removed.
+	// Cut drops all datagrams, and blocks streams and dials until the rule is removed.
 	Cut bool
 	// DatagramLoss is the probability that a datagram is lost.
 	DatagramLoss float64
-	// ExtraDelay is added to the delay of what is sent while the rule is active.
+	// ExtraDelay is added to the delay of each transmission sent while the rule is active.
 	ExtraDelay time.Duration
 }
 
@@ -50,7 +50,7 @@
 	return from != to && r.From(from.place) && r.To(to.place)
 }
 
-// Apply makes rules active and returns a function that removes them.
+// Apply activates rules and returns a function that removes them.
 func (n *Network) Apply(rules ...Rule) (remove func()) {
 	added := make([]*Rule, len(rules))
 	for i := range rules {
@@ -64,25 +64,25 @@
 	}
 }
 
-// Partition cuts a off from b in both directions until heal is called.
+// Partition blocks traffic between a and b in both directions until heal is called.
 func (n *Network) Partition(a, b Selector) (heal func()) {
 	return n.Apply(Rule{From: a, To: b, Cut: true}, Rule{From: b, To: a, Cut: true})
 }
 
-// Isolate cuts the chosen places off from all others until heal is called.
+// Isolate partitions the chosen places from all others until heal is called.
 func (n *Network) Isolate(chosen Selector) (heal func()) {
 	return n.Partition(chosen, Not(chosen))
 }
 
-// RemoveRules removes all rules; crashed and paused hosts stay so.
+// RemoveRules removes all rules. Crashed hosts stay crashed, and paused hosts stay paused.
 func (n *Network) RemoveRules() {
 	n.change(func() { n.rules = nil })
 }
 
-// Pause freezes a host's traffic: nothing that it writes leaves and nothing reaches its process until Resume.
+// Pause suspends a host's traffic until Resume: its writes are not transmitted, and its process receives nothing.
 func (n *Network) Pause(ip string) { n.setPaused(ip, true) }
 
-// Resume lets everything that was held up since Pause flow.
+// Resume releases all traffic held since Pause.
 func (n *Network) Resume(ip string) { n.setPaused(ip, false) }
 
 func (n *Network) setPaused(ip string, paused bool) {
@@ -104,7 +104,7 @@
 	}
 }
 
-// wakeReaders lets blocked reads look at the host's state again.
+// wakeReaders wakes blocked calls so that they check the host's state again.
 func (h *host) wakeReaders() {
 	conns, packets := h.openSockets()
 	for _, open := range conns {
@@ -129,8 +129,8 @@
 	return conns, packets
 }
 
-// Crash ends the host's process: its sockets fail, its peers see a reset as soon as one can reach them, and later dials
-// to it are refused. The host's views of the network fail for good; Restart gives a new one.
+// Crash ends the host's process: its sockets fail, its peers see a reset as soon as a reset can be delivered to them, and
+// later dials to it are refused. The process's view of the network fails permanently; Restart returns a new one.
 func (n *Network) Crash(ip string) {
 	crashed := n.find(ip)
 	if crashed == nil {
@@ -147,11 +147,11 @@
 	for _, open := range listeners {
 		_ = open.Close()
 	}
-	// Only now, so that nothing leaves that a paused process had not let go.
+	// The pause is cleared last, so that data held back by a paused process is never transmitted.
 	n.change(func() { crashed.paused = false })
 }
 
-// markDown keeps the process from opening sockets and returns its listeners.
+// markDown prevents the process from opening sockets and returns its listeners.
 func (h *host) markDown() []*listener {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -164,8 +164,8 @@
 	return listeners
 }
 
-// Restart starts a new process on a host that Host has made, and returns its view of the network. A host that runs is
-// crashed first.
+// Restart starts a new process on a host created by Host, and returns its view of the network. A running host is crashed
+// first.
 func (n *Network) Restart(ip string) network.Network {
 	n.Crash(ip)
 	n.mu.Lock()
@@ -175,7 +175,7 @@
 	return restarted.process
 }
 
-// change alters faults and lets everything that was held up try again.
+// change modifies the faults and retries delivery on all stalled streams and dials.
 func (n *Network) change(alter func()) {
 	for _, each := range n.alter(alter) {
 		each.restart()
@@ -196,7 +196,7 @@
 	return released
 }
 
-// isCut is called with mu held.
+// isCut reports whether a rule cuts traffic between the hosts; mu is held.
 func (n *Network) isCut(from, to *host) bool {
 	for _, rule := range n.rules {
 		if rule.Cut && rule.applies(from, to) {
@@ -206,7 +206,7 @@
 	return false
 }
 
-// transitDelay draws the one-way delay of what is sent now.
+// transitDelay returns the one-way delay, jitter included, of a transmission sent now.
 func (n *Network) transitDelay(from, to *host) time.Duration {
 	n.mu.RLock()
 	delay, jitter := n.delay(from.place, to.place)
@@ -217,7 +217,7 @@
 	}
 	n.mu.RUnlock()
 	if jitter > 0 {
-		delay += time.Duration(from.chance() * float64(jitter))
+		delay += time.Duration(from.randomFloat() * float64(jitter))
 	}
 	return delay
 }
@@ -228,8 +228,8 @@
 	return h.paused
 }
 
-// stall reports whether a fault holds the pipe's next segment up, and if so restarts the pipe at the next change. A held
-// segment is one that its paused sender has not let go yet.
+// stall reports whether a fault blocks the pipe's next segment, and if so registers the pipe for a restart at the next
+// change of faults. A held segment was written while its sender was paused and is not transmitted yet.
 func (n *Network) stall(p *pipe, held bool) bool {
 	n.mu.RLock()
 	blocked := n.isBlocked(p, held)
--- a/internal/network/simnet/listener.go
+++ b/internal/network/simnet/listener.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// backlog is how many connections wait for Accept; further dials are refused.
+	// backlog is the maximum number of connections that wait for Accept; further dials are refused.
 	backlog = 1024
-	// dialTimeout ends a dial whose context sets no end.
+	// dialTimeout limits a dial whose context has no earlier deadline.
 	dialTimeout = time.Minute
 )
 
-// listener accepts streams.
+// listener accepts stream connections.
 type listener struct {
 	host      *host
 	port      int
@@ -88,7 +88,7 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return l.host.tcpAddress(l.port) }
 
-// Close implements net.Listener. Connections that wait for Accept are reset.
+// Close implements net.Listener. Connections not yet accepted are reset.
 func (l *listener) Close() error {
 	first := false
 	l.closeOnce.Do(func() { first = true })
@@ -98,15 +98,15 @@
 	l.unbind()
 	for {
 		select {
-		case left := <-l.waiting:
-			left.abort(net.ErrClosed)
+		case unaccepted := <-l.waiting:
+			unaccepted.abort(net.ErrClosed)
 		default:
 			return nil
 		}
 	}
 }
 
-// unbind keeps new connections out; offer holds the same mutex.
+// unbind stops new connections from being queued; offer holds the same mutex.
 func (l *listener) unbind() {
 	n := l.host.network
 	n.mu.Lock()
@@ -128,7 +128,7 @@
 	return dialed, nil
 }
 
-// dial takes one delay there and one back.
+// dial waits for one transit delay in each direction before it returns a connection.
 func (p *process) dial(ctx context.Context, address string) (*conn, error) {
 	n := p.host.network
 	ip, port, err := p.host.resolve(address)
@@ -139,11 +139,11 @@
 	if target == nil {
 		return nil, syscall.EHOSTUNREACH
 	}
-	if err := n.travel(ctx, p.host, target); err != nil {
+	if err := n.awaitTransit(ctx, p.host, target); err != nil {
 		return nil, err
 	}
 	dialed, refused := p.offer(target, port)
-	if err := n.travel(ctx, target, p.host); err != nil {
+	if err := n.awaitTransit(ctx, target, p.host); err != nil {
 		if dialed != nil {
 			dialed.abort(err)
 		}
@@ -161,7 +161,7 @@
 	return n.hosts[ip]
 }
 
-// offer makes a connection and gives its far end to the listener at the port.
+// offer creates a connection and queues its accepting end at the target's listener on the port.
 func (p *process) offer(target *host, port int) (*conn, error) {
 	n := p.host.network
 	n.mu.Lock()
@@ -180,12 +180,12 @@
 	dialed, accepted := newLink(n, p.host, target, localPort, port)
 	p.host.conns[dialed] = struct{}{}
 	target.conns[accepted] = struct{}{}
-	open.waiting <- accepted // has room: all senders hold mu
+	open.waiting <- accepted // cannot block: all senders hold mu, and the capacity was checked above
 	return dialed, nil
 }
 
-// travel waits as long as one transmission takes, faults included.
-func (n *Network) travel(ctx context.Context, from, to *host) error {
+// awaitTransit waits for the transit delay of one transmission, and first until no fault blocks the path.
+func (n *Network) awaitTransit(ctx context.Context, from, to *host) error {
 	for {
 		changed, blocked := n.checkPath(from, to)
 		if !blocked {
--- a/internal/network/simnet/packet.go
+++ b/internal/network/simnet/packet.go
@@ -9,8 +9,7 @@
 )
 
 const (
-	// packetBufferBytes bounds what a packet socket holds for its reader, and a paused host for the network; further
-	// datagrams are lost.
+	// packetBufferBytes limits the unread bytes in a packet socket; further datagrams are lost.
 	packetBufferBytes = 256 << 10
 	// maxDatagramBytes is the largest payload of a datagram.
 	maxDatagramBytes = 65507
@@ -35,7 +34,7 @@
 	data []byte
 }
 
-// heldDatagram is a packet that its sender has written.
+// heldDatagram is an outgoing packet with its destination.
 type heldDatagram struct {
 	datagram
 	to *net.UDPAddr
@@ -62,7 +61,7 @@
 	return opened, nil
 }
 
-// WriteTo implements net.PacketConn. Lost datagrams are no error.
+// WriteTo implements net.PacketConn. A lost datagram is not an error.
 func (c *packetConn) WriteTo(data []byte, to net.Addr) (int, error) {
 	target, ok := to.(*net.UDPAddr)
 	switch {
@@ -81,20 +80,20 @@
 	return len(data), nil
 }
 
-// transmit sends a datagram, holds it while its sender is paused, or loses it.
+// transmit sends a datagram, holds it while its sender is paused, or drops it.
 func (n *Network) transmit(from *host, sent heldDatagram) {
 	ip, port, err := from.resolve(sent.to.String())
 	if err != nil {
 		return
 	}
 	target, lossProbability := n.route(from, ip, sent)
-	if target == nil || lossProbability > 0 && from.chance() < lossProbability {
+	if target == nil || lossProbability > 0 && from.randomFloat() < lossProbability {
 		return
 	}
 	time.AfterFunc(n.transitDelay(from, target), func() { target.receive(port, sent.datagram) })
 }
 
-// route returns the target and the probability of loss, or no target when the datagram goes no further.
+// route returns the target and the probability of loss, or no target when the datagram is held or dropped.
 func (n *Network) route(from *host, ip string, sent heldDatagram) (*host, float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -109,13 +108,13 @@
 	if n.isCut(from, target) {
 		return nil, 0
 	}
-	kept := 1.0
+	deliveryProbability := 1.0
 	for _, rule := range n.rules {
 		if rule.applies(from, target) {
-			kept *= 1 - rule.DatagramLoss
+			deliveryProbability *= 1 - rule.DatagramLoss
 		}
 	}
-	return target, 1 - kept
+	return target, 1 - deliveryProbability
 }
 
 func (h *host) receive(port int, arrived datagram) {
@@ -123,11 +122,11 @@
 	socket := h.packets[port]
 	h.network.mu.RUnlock()
 	if socket != nil {
-		socket.hold(arrived)
+		socket.enqueue(arrived)
 	}
 }
 
-func (c *packetConn) hold(arrived datagram) {
+func (c *packetConn) enqueue(arrived datagram) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || c.receivedBytes+len(arrived.data) > packetBufferBytes {
@@ -155,7 +154,7 @@
 			c.received = c.received[1:]
 			c.receivedBytes -= len(next.data)
 			h.traffic.datagramReceived.Add(uint64(len(next.data)))
-			h.traffic.datagramsTaken.Add(1)
+			h.traffic.datagramsReceived.Add(1)
 			return copy(into, next.data), next.from, nil
 		}
 		c.changed.Wait()
@@ -215,7 +214,7 @@
 // SetDeadline implements net.PacketConn.
 func (c *packetConn) SetDeadline(at time.Time) error { return c.SetReadDeadline(at) }
 
-// SetWriteDeadline implements net.PacketConn; writes never wait.
+// SetWriteDeadline implements net.PacketConn; writes never block.
 func (c *packetConn) SetWriteDeadline(time.Time) error { return nil }
 
 // SetReadDeadline implements net.PacketConn.
--- a/internal/network/simnet/simnet.go
+++ b/internal/network/simnet/simnet.go
@@ -1,11 +1,13 @@
 // Package simnet is an in-memory network for virtual time. Hosts at places (zone, region) exchange streams and datagrams
 // with delays, and faults change at run time: partitions, one-way cuts, loss, extra delay, crashed and paused hosts.
 //
-// It uses only the time package, sync and channels, so that it works within a testing/synctest bubble, where New must
-// then be called. Time stands still once the bubble's main function has returned, so close both ends of a stream, or wait
-// for the far one to see the end, before. Deterministic in its random draws for each host, in as much as the order of that host's calls is.
+// It uses only the time package, sync and channels, so that it works within a testing/synctest bubble; New must then be
+// called within the bubble. Time does not advance after the bubble's main function has returned. Before that, close both
+// ends of each stream, or wait until the remote end has seen the end of the stream. Random numbers are drawn per host and
+// are deterministic if the order of that host's calls is.
 //
-// Lock order: link.mu before Network.mu; packetConn.mu and host.randomMu are taken last and nothing is taken under them.
+// Lock order: link.mu before Network.mu; packetConn.mu and host.randomMu are acquired last, and no lock is acquired
+// while they are held.
 package simnet
 
 import (
@@ -23,29 +25,29 @@
 // DefaultBufferBytes is the default of Options.BufferBytes.
 const DefaultBufferBytes = 256 << 10
 
-// firstFreePort is where the allocation of ports for port 0 and for dialing starts.
+// firstFreePort is the lowest port allocated for port 0 and for dialing.
 const firstFreePort = 32768
 
 // lastPort is the highest port.
 const lastPort = 65535
 
-// Place is where a host is.
+// Place is the location of a host.
 type Place struct {
 	IP     string
 	Zone   string
 	Region string
 }
 
-// DelayFunc gives the one-way delay from a place to another; each transmission adds a random part of jitter.
+// DelayFunc returns the one-way delay between two places; each transmission adds a random fraction of jitter.
 type DelayFunc func(from, to Place) (base, jitter time.Duration)
 
 // Options configures a Network; zero values take the defaults.
 type Options struct {
-	// Seed starts the random draws of loss and jitter.
+	// Seed seeds the random numbers for loss and jitter.
 	Seed uint64
 	// Delay is DefaultDelay if nil.
 	Delay DelayFunc
-	// BufferBytes bounds what is on its way or unread in one direction of a stream; writers wait beyond it.
+	// BufferBytes limits the bytes in transit or unread in one direction of a stream; writers block at the limit.
 	BufferBytes int
 }
 
@@ -61,8 +63,8 @@
 	}
 }
 
-// Traffic counts what a host sent and received: payload bytes of streams and of datagrams. Sent bytes count when they
-// are written, lost ones too.
+// Traffic counts the payload bytes that a host sent and received, for streams and datagrams, and its datagrams. Sent
+// bytes are counted when they are written, even if they are lost.
 type Traffic struct {
 	StreamBytesSent       uint64
 	StreamBytesReceived   uint64
@@ -80,7 +82,7 @@
 	delay DelayFunc
 	hosts map[string]*host
 	rules []*Rule
-	// stalled holds the streams with something to deliver that a fault holds back.
+	// stalled holds the stream directions whose next segment is blocked by a fault.
 	stalled map[*pipe]struct{}
 	// changed is closed and replaced at each change of faults.
 	changed chan struct{}
@@ -104,22 +106,22 @@
 	random   *rand.Rand
 
 	traffic struct {
-		streamSent, streamReceived     atomic.Uint64
-		datagramSent, datagramReceived atomic.Uint64
-		datagramsSent, datagramsTaken  atomic.Uint64
+		streamSent, streamReceived       atomic.Uint64
+		datagramSent, datagramReceived   atomic.Uint64
+		datagramsSent, datagramsReceived atomic.Uint64
 	}
 }
 
-// process is the life of a host between start and crash, and the view of the network that it has.
+// process is the incarnation of a host between start and crash, and its view of the network.
 type process struct {
 	host *host
-	// down is guarded by Network.mu and stays set.
+	// down is guarded by Network.mu and is never cleared.
 	down bool
 }
 
 var _ network.Network = (*process)(nil)
 
-// New returns a network without hosts and faults.
+// New returns a network without hosts or faults.
 func New(options Options) *Network {
 	if options.Delay == nil {
 		options.Delay = DefaultDelay
@@ -136,8 +138,8 @@
 	}
 }
 
-// Host returns the view that the host of an IP has of the network, and makes the host at the first call. The view
-// fails for good when the host crashes.
+// Host returns the network as seen by the host with the IP, and creates the host at the first call. The returned view
+// fails permanently when the host crashes.
 func (n *Network) Host(ip, zone, region string) network.Network {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -164,14 +166,14 @@
 	return hash.Sum64()
 }
 
-// SetDelay changes the delays of what is sent from now on.
+// SetDelay changes the delays of later transmissions.
 func (n *Network) SetDelay(delay DelayFunc) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = delay
 }
 
-// Traffic tells what a host sent and received so far; zero for an unknown host.
+// Traffic returns the host's counters so far; zero for an unknown host.
 func (n *Network) Traffic(ip string) Traffic {
 	n.mu.RLock()
 	found := n.hosts[ip]
@@ -186,11 +188,11 @@
 		DatagramBytesSent:     counted.datagramSent.Load(),
 		DatagramBytesReceived: counted.datagramReceived.Load(),
 		DatagramsSent:         counted.datagramsSent.Load(),
-		DatagramsReceived:     counted.datagramsTaken.Load(),
+		DatagramsReceived:     counted.datagramsReceived.Load(),
 	}
 }
 
-// freePort returns a port that neither listener nor packet socket has; Network.mu is held.
+// freePort returns a port that no listener or packet socket uses; Network.mu is held.
 func (h *host) freePort() (int, error) {
 	for range lastPort - firstFreePort + 1 {
 		port := h.nextPort
@@ -205,14 +207,14 @@
 	return 0, fmt.Errorf("simnet: host %s has no free port", h.place.IP)
 }
 
-// chance draws a number in [0, 1).
-func (h *host) chance() float64 {
+// randomFloat returns a random number in [0, 1).
+func (h *host) randomFloat() float64 {
 	h.randomMu.Lock()
 	defer h.randomMu.Unlock()
 	return h.random.Float64()
 }
 
-// resolve parses an address; the unspecified and loopback IPs are the host itself.
+// resolve parses an address; the unspecified and loopback IPs resolve to the host itself.
 func (h *host) resolve(address string) (ip string, port int, err error) {
 	parsed, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
--- a/internal/network/simnet/simnet_test.go
+++ b/internal/network/simnet/simnet_test.go
@@ -34,7 +34,7 @@
 	listener       net.Listener
 }
 
-// run gives a pair with a listening server to a test in virtual time.
+// run runs a subtest in virtual time with a pair whose server is listening.
 func run(t *testing.T, name string, test func(p *pair)) {
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -100,7 +100,7 @@
 	run(t, "data takes the delay and ends with EOF", func(p *pair) {
 		start := time.Now()
 		dialed, accepted := p.connect()
-		p.is.Equal(time.Since(start), time.Millisecond) // there and back
+		p.is.Equal(time.Since(start), time.Millisecond) // one transit delay in each direction
 		p.write(dialed, "hello")
 		p.is.NoErr(dialed.Close())
 		p.read(accepted, "hello")
@@ -111,7 +111,7 @@
 		p.write(accepted, "unwanted")
 		time.Sleep(time.Second)
 		_, err := accepted.Write([]byte{1})
-		p.is.True(errors.Is(err, syscall.ECONNRESET)) // data after Close is refused
+		p.is.True(errors.Is(err, syscall.ECONNRESET)) // data sent after the peer's Close is answered with a reset
 	})
 	run(t, "a full buffer blocks the writer until its deadline or a read", func(p *pair) {
 		dialed, accepted := p.connect()
@@ -175,7 +175,7 @@
 		p.is.True(errors.Is(p.dialWithin(time.Second), syscall.ECONNREFUSED))
 		restarted := p.network.Restart(serverIP)
 		_, err = p.server.Listen(address)
-		p.is.True(errors.Is(err, syscall.ENETDOWN)) // the dead process stays dead
+		p.is.True(errors.Is(err, syscall.ENETDOWN)) // the crashed process cannot open sockets again
 		_, err = restarted.Listen(address)
 		p.is.NoErr(err)
 		p.is.NoErr(p.dialWithin(time.Second))
@@ -193,7 +193,7 @@
 	run(t, "a paused host's writes leave and its reads come at the resume", func(p *pair) {
 		dialed, accepted := p.connect()
 		p.write(dialed, "to")
-		time.Sleep(time.Second) // has arrived, but was not read yet
+		time.Sleep(time.Second) // delivered but not read yet
 		p.network.Pause(serverIP)
 		p.write(accepted, "from")
 		p.write(dialed, "gether")
@@ -269,7 +269,7 @@
 		heal := p.network.Partition(simnet.ByIP(clientIP), simnet.ByIP(serverIP))
 		send(1)
 		heal()
-		p.is.Equal(receive(), 0) // lost, not late
+		p.is.Equal(receive(), 0) // dropped, not delayed
 		p.network.Pause(clientIP)
 		send(2)
 		p.is.Equal(receive(), 0)
@@ -285,7 +285,7 @@
 	})
 }
 
-// TestHTTP shows that net/http works in virtual time, with a response that streams, and that the bubble can end.
+// TestHTTP checks that net/http works in virtual time with a streaming response, and that the synctest bubble ends.
 func TestHTTP(t *testing.T) {
 	run(t, "streaming response", func(p *pair) {
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/network/simnet/stream.go
+++ b/internal/network/simnet/stream.go
@@ -13,14 +13,14 @@
 	mu      sync.Mutex
 }
 
-// segmentKind tells what a segment carries.
+// segmentKind is the type of a segment.
 type segmentKind uint8
 
 const (
 	segmentData segmentKind = iota
-	// segmentEnd says that no more data follows.
+	// segmentEnd marks the end of the data.
 	segmentEnd
-	// segmentReset says that the sender's end is gone.
+	// segmentReset reports that the sender's end was closed or crashed.
 	segmentReset
 )
 
@@ -28,9 +28,9 @@
 type segment struct {
 	kind segmentKind
 	data []byte
-	// at is when it arrives, if neither a fault nor a segment before it holds it up.
+	// at is the arrival time if neither a fault nor an earlier segment delays it.
 	at time.Time
-	// held says that its sender was paused when it was written.
+	// held is set if the sender was paused when the segment was written, and cleared when the sender resumes.
 	held bool
 }
 
@@ -40,11 +40,11 @@
 	from, to *host
 	// receiver is the end that reads, sender the one that writes.
 	receiver, sender *conn
-	// queue is on its way, received waits for the reader.
+	// queue holds segments in transit; received holds delivered bytes not yet read.
 	queue       []segment
 	queuedBytes int
 	received    []byte
-	// end is what the reader gets after received; nil while the stream goes on.
+	// end is the error returned to the reader after received; nil while the stream is open.
 	end   error
 	timer *time.Timer
 	// changed wakes the reader and the writer of this direction.
@@ -55,8 +55,8 @@
 	return &pipe{link: l, from: from, to: to, changed: sync.NewCond(&l.mu)}
 }
 
-// room is how many bytes may be written now.
-func (p *pipe) room() int {
+// freeBytes returns the number of bytes that may be written now.
+func (p *pipe) freeBytes() int {
 	return p.link.network.options.BufferBytes - p.queuedBytes - len(p.received)
 }
 
@@ -71,7 +71,7 @@
 	}
 }
 
-// restart goes on after a change of faults: what was held up arrives one delay from now at the earliest.
+// restart resumes delivery after a change of faults. Queued segments arrive one transit delay from now at the earliest.
 func (p *pipe) restart() {
 	p.link.mu.Lock()
 	defer p.link.mu.Unlock()
@@ -88,7 +88,7 @@
 	p.pump()
 }
 
-// pump delivers what has arrived and sets the timer for the next segment; link.mu is held.
+// pump delivers the segments that have arrived and sets the timer for the next segment; link.mu is held.
 func (p *pipe) pump() {
 	now := time.Now()
 	delivered := false
@@ -149,7 +149,7 @@
 	}
 }
 
-// discard drops everything on its way; link.mu is held.
+// discard drops all segments in transit; link.mu is held.
 func (p *pipe) discard() {
 	p.queue = nil
 	p.queuedBytes = 0
